--- a/evict/cost.go
+++ b/evict/cost.go
@@ -1,3 +1,5 @@
+// Package evict holds the rule by which an idle adapter gives up its slot. It
+// keeps no state; agents and controllers use it.
 package evict
 
 import (
--- a/loadbudget/backoff.go
+++ b/loadbudget/backoff.go
@@ -1,3 +1,6 @@
+// Package loadbudget bounds the loads that an agent takes from the weight store,
+// which all agents share. A Backoff belongs to one agent and is not safe for
+// concurrent use.
 package loadbudget
 
 import (
--- a/loadbudget/budget_test.go
+++ b/loadbudget/budget_test.go
@@ -40,18 +40,14 @@
 
 func TestParallelLoads(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for name, b := range map[string]interface {
-		Acquire(time.Time) (bool, time.Duration)
-		Release(time.Time, bool)
-	}{"backoff": NewBackoff(10, 2), "share": NewShare(20, 4, 2)} {
-		for i := range 2 {
-			ok, _ := b.Acquire(now.Add(time.Duration(i) * time.Second))
-			assert.Assert(t, ok, name)
-		}
-		ok, wait := b.Acquire(now.Add(5 * time.Second))
-		assert.Assert(t, !ok && wait > 0, name)
-		b.Release(now.Add(5*time.Second), false)
-		ok, _ = b.Acquire(now.Add(6 * time.Second))
-		assert.Assert(t, ok, name)
+	b := NewBackoff(10, 2)
+	for i := range 2 {
+		ok, _ := b.Acquire(now.Add(time.Duration(i) * time.Second))
+		assert.Assert(t, ok)
 	}
+	ok, wait := b.Acquire(now.Add(5 * time.Second))
+	assert.Assert(t, !ok && wait > 0)
+	b.Release(now.Add(5*time.Second), false)
+	ok, _ = b.Acquire(now.Add(6 * time.Second))
+	assert.Assert(t, ok)
 }
--- a/queueorder/aged.go
+++ b/queueorder/aged.go
@@ -1,4 +1,5 @@
-// Package queueorder holds the orders in which waiting requests are taken.
+// Package queueorder holds the order in which an agent takes waiting requests.
+// It keeps no state.
 package queueorder
 
 import (
--- /dev/null
+++ b/schedule/overload_test.go
@@ -0,0 +1,43 @@
+package schedule_test
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"sandbarrow.example/sandbarrow/workload"
+)
+
+// overloadOptions shape the traces of these tests.
+func overloadOptions(duration time.Duration) workload.Options {
+	return workload.Options{Duration: duration, Seed: 1, Skew: 1.1, WakeShare: 0.06}
+}
+
+// TestOverload checks, under three times the traffic that the weight store
+// bears, that no class is starved, that urgent ones are refused least, and that
+// refusals do not wait for the deadline.
+func TestOverload(t *testing.T) {
+	for _, e := range []workload.Estate{workload.Address(), workload.Registre()} {
+		e.RequestsPerSecond *= 3
+		r := replay(&e, workload.Trace(&e, overloadOptions(8*time.Minute)))
+		for _, c := range e.Classes {
+			assert.Assert(t, r.refusedShare(c.Class) < 0.6, "%s/%s: %.2f refused", e.Name, c.Class, r.refusedShare(c.Class))
+			assert.Assert(t, quantile(r.waitsBy[c.Class], 1) <= e.Deadline+tick, "%s/%s waited past its deadline", e.Name, c.Class)
+		}
+		urgent, last := e.Classes[0].Class, e.Classes[len(e.Classes)-1].Class
+		assert.Assert(t, r.refusedShare(urgent) < r.refusedShare(last), "%s is refused more than %s", urgent, last)
+		assert.Assert(t, quantile(r.refusals, 0.5) < e.Deadline/2, "half of the refusals came after %v", quantile(r.refusals, 0.5))
+		assert.Assert(t, r.refused > 0)
+	}
+}
+
+// TestReplayRepeats checks that a replay is the same each time.
+func TestReplayRepeats(t *testing.T) {
+	e := workload.Address()
+	trace := workload.Trace(&e, overloadOptions(4*time.Minute))
+	a, b := replay(&e, trace), replay(&e, trace)
+	assert.Equal(t, a.stalls, b.stalls)
+	assert.Equal(t, a.stallTime, b.stallTime)
+	assert.Equal(t, quantile(a.waits, 0.99), quantile(b.waits, 0.99))
+}
--- /dev/null
+++ b/schedule/replay_test.go
@@ -0,0 +1,165 @@
+package schedule_test
+
+import (
+	"container/heap"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"sandbarrow.example/sandbarrow"
+	"sandbarrow.example/sandbarrow/placement"
+	"sandbarrow.example/sandbarrow/schedule"
+	"sandbarrow.example/sandbarrow/workload"
+)
+
+const (
+	maxAttempts = 3
+	// reportPause is the lag with which upstreams report their load.
+	reportPause = 500 * time.Millisecond
+	// tick is how often a runner looks at what time alone changes.
+	tick = 20 * time.Millisecond
+)
+
+// event is something that happens at a time of the replay.
+type event struct {
+	at time.Time
+	do func(now time.Time)
+	// sequence keeps events of one time in the order of their making.
+	sequence int
+}
+
+type eventHeap []event
+
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at.Equal(h[j].at) {
+		return h[i].sequence < h[j].sequence
+	}
+	return h[i].at.Before(h[j].at)
+}
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
+
+// fleetReplay drives the decisions of a fleet of agents with a trace of
+// requests, in virtual time, against small models of engines and of the weight
+// store. It models no network and no failing processes.
+type fleetReplay struct {
+	chooser sandbarrow.Chooser
+	estate  *workload.Estate
+	events  eventHeap
+	fleet   *placement.Fleet
+	made    int
+	result  *replayResult
+	runners []*runner
+	start   time.Time
+	weights weightStore
+}
+
+// replay replays a trace with the decisions of agents and entries.
+func replay(e *workload.Estate, trace []workload.Request) *replayResult {
+	fleet := placement.NewFleet()
+	r := &fleetReplay{
+		chooser: placement.NewAffinity(fleet),
+		estate:  e,
+		fleet:   fleet,
+		result:  newReplayResult(trace),
+		start:   time.Unix(0, 0),
+		weights: newWeightStore(e),
+	}
+	for i := range e.Runners {
+		r.runners = append(r.runners, newRunner(r, i))
+	}
+	for i := range trace {
+		q := &trace[i]
+		r.at(r.start.Add(q.At), func(now time.Time) { r.arrive(now, q) })
+	}
+	for r.result.open() && len(r.events) > 0 {
+		next := heap.Pop(&r.events).(event)
+		next.do(next.at)
+	}
+	r.result.sort()
+	return r.result
+}
+
+func (r *fleetReplay) at(t time.Time, do func(time.Time)) {
+	r.made++
+	heap.Push(&r.events, event{at: t, do: do, sequence: r.made})
+}
+
+// arrive sends a request to its first upstream.
+func (r *fleetReplay) arrive(now time.Time, q *workload.Request) {
+	r.send(now, &flight{
+		arrived: now,
+		model:   sandbarrow.ModelRef{Adapter: q.Adapter, Version: "v1"},
+		request: q,
+	})
+}
+
+// flight is one request on its way.
+type flight struct {
+	arrived  time.Time
+	attempts int
+	exclude  sandbarrow.IndexSet
+	left     int // tokens to be made
+	model    sandbarrow.ModelRef
+	request  *workload.Request
+	stall    bool
+	stalled  time.Duration
+	ticket   *schedule.Ticket
+}
+
+func (r *fleetReplay) send(now time.Time, f *flight) {
+	route := &sandbarrow.RouteRequest{
+		BaseModel:   f.request.BaseModel,
+		BatchWeight: r.estate.BatchWeight,
+		Exclude:     &f.exclude,
+		Hash:        placement.HashModel(f.model),
+		Urgent:      f.request.Class.NoBatchWait,
+	}
+	for f.attempts < maxAttempts {
+		f.attempts++
+		i, ok := r.chooser.Choose(now, route)
+		if !ok {
+			break
+		}
+		f.exclude.Add(i)
+		if r.runners[i].submit(now, f) {
+			return
+		}
+	}
+	r.result.refuse(now, f)
+}
+
+// weightStore is the model of the rate-limited store of weights.
+type weightStore struct {
+	active   int
+	load     time.Duration
+	limit    *rate.Limiter
+	parallel float64
+}
+
+func newWeightStore(e *workload.Estate) weightStore {
+	return weightStore{
+		load:     e.Load,
+		limit:    rate.NewLimiter(rate.Limit(e.LoadsPerSecond), int(e.LoadsPerSecond)+1),
+		parallel: float64(e.ParallelLoads),
+	}
+}
+
+// begin takes a load; more than the parallel ones slow down.
+func (w *weightStore) begin(now time.Time) (time.Duration, bool) {
+	if !w.limit.AllowN(now, 1) {
+		return 0, false
+	}
+	w.active++
+	slowdown := max(1, float64(w.active)/w.parallel)
+	return time.Duration(float64(w.load) * slowdown), true
+}
+
+func (w *weightStore) end() { w.active-- }
--- a/internal/replay/runner.go
+++ b/schedule/replayrunner_test.go
@@ -1,51 +1,53 @@
-package replay
+package schedule_test
 
 import (
 	"fmt"
 	"time"
 
 	"sandbarrow.example/sandbarrow"
+	"sandbarrow.example/sandbarrow/evict"
+	"sandbarrow.example/sandbarrow/loadbudget"
 	"sandbarrow.example/sandbarrow/placement"
+	"sandbarrow.example/sandbarrow/queueorder"
 	"sandbarrow.example/sandbarrow/schedule"
-	"sandbarrow.example/sandbarrow/workload"
 )
 
-// maxQueued bounds the waiting requests of a runner, as at an agent.
-const maxQueued = 4096
+const (
+	// agingStep is the agents' value.
+	agingStep = 5 * time.Second
+	// maxQueued bounds the waiting requests of a runner, as at an agent.
+	maxQueued = 4096
+)
 
 // runner is a model engine with the decisions of its agent.
 type runner struct {
 	budget    sandbarrow.LoadBudget
-	dead      bool
-	domain    int
 	flights   map[*schedule.Ticket]*flight
 	index     int
-	replay    *replay
+	replay    *fleetReplay
 	retryAt   time.Time
 	running   []*flight
 	scheduler *schedule.Scheduler
 	stepping  bool
 }
 
-func newRunner(r *replay, i int, trace []workload.Request) *runner {
-	e, s := r.estate, r.strategy
+func newRunner(r *fleetReplay, i int) *runner {
+	e := r.estate
 	u := &runner{
-		budget:  s.NewBudget(e),
-		domain:  i % e.Domains,
+		budget:  loadbudget.NewBackoff(e.LoadsPerSecond, e.ParallelLoads),
 		flights: map[*schedule.Ticket]*flight{},
 		replay:  r,
 		scheduler: schedule.New(schedule.Options{
-			BatchWait:  s.BatchWait,
-			Evictor:    s.NewEvictor(trace),
+			Evictor:    evict.NewCost(),
 			MaxQueued:  maxQueued,
 			MaxRunning: e.MaxRunning,
-			Order:      s.Order,
+			Order:      queueorder.Aged{Step: agingStep},
 			Slots:      e.Slots,
 		}),
 	}
 	u.index = r.fleet.Add(placement.Info{
 		BaseModel:     e.BaseModelOf(i),
-		FailureDomain: sandbarrow.FailureDomain(fmt.Sprint(u.domain)),
+		FailureDomain: sandbarrow.FailureDomain(fmt.Sprint(i % e.Domains)),
 		ID:            sandbarrow.UpstreamID(fmt.Sprintf("runner-%d", i)),
 		MaxRunning:    e.MaxRunning,
 	})
@@ -58,15 +60,12 @@
 
 func (u *runner) every(at time.Time, pause time.Duration, do func(time.Time)) {
 	u.replay.at(at, func(now time.Time) {
-		if u.dead {
-			return
-		}
 		do(now)
 		u.every(now.Add(pause), pause, do)
 	})
 }
 
-// report tells the fleet what an agent's status tells.
+// report gives the fleet what an agent's status holds.
 func (u *runner) report(now time.Time) {
 	st := u.scheduler.Stats(now)
 	u.replay.fleet.SetLoad(u.index, placement.Load{LoadTime: st.LoadWait, Queued: st.Queued, Running: st.Running, ServiceTime: st.Service})
@@ -78,7 +77,7 @@
 	u.replay.fleet.SetResident(u.index, hashes)
 }
 
-// submit takes a request or refuses it.
+// submit queues a request, or returns false when the scheduler refuses it.
 func (u *runner) submit(now time.Time, f *flight) bool {
 	f.ticket = &schedule.Ticket{
 		Arrived:     now,
@@ -87,10 +86,9 @@
 		NoBatchWait: f.request.Class.NoBatchWait,
 		Priority:    f.request.Class.Priority,
 	}
-	if u.dead || u.scheduler.Submit(now, f.ticket) != nil {
+	if u.scheduler.Submit(now, f.ticket) != nil {
 		return false
 	}
-	f.runner = u
 	f.left = f.request.Tokens
 	f.stall = f.stall || f.ticket.Stall
 	u.flights[f.ticket] = f
@@ -127,10 +125,6 @@
 // step gives each running request a token.
 func (u *runner) step(now time.Time) {
 	u.stepping = false
-	if u.dead {
-		return
-	}
-	u.replay.result.step(now, len(u.running))
 	kept := u.running[:0]
 	for _, f := range u.running {
 		f.left--
@@ -140,7 +134,7 @@
 		}
 		u.scheduler.Finish(now, f.ticket)
 		u.drop(f)
-		u.replay.result.end(f)
+		u.replay.result.end()
 	}
 	u.running = kept
 	u.pump(now)
@@ -153,12 +147,10 @@
 		if !ok {
 			return
 		}
-		if !u.replay.strategy.FreeLoads {
-			ok, wait := u.budget.Acquire(now)
-			if !ok {
-				u.retryAt = now.Add(wait)
-				return
-			}
+		ok, wait := u.budget.Acquire(now)
+		if !ok {
+			u.retryAt = now.Add(wait)
+			return
 		}
 		u.scheduler.BeginOrder(now, o)
 		u.scheduler.EvictDone(o, true)
@@ -168,42 +160,16 @@
 
 func (u *runner) load(now time.Time, o schedule.Order) {
 	r := u.replay
-	if r.strategy.FreeLoads {
-		r.result.load(now)
-		u.scheduler.LoadDone(now, o, true)
-		return
-	}
 	took, ok := r.weights.begin(now)
 	if !ok {
 		u.budget.Release(now, true)
 		u.scheduler.Postpone(now, o)
-		r.result.pushback(now)
 		return
 	}
-	r.result.load(now)
 	r.at(now.Add(took), func(now time.Time) {
 		r.weights.end()
-		if u.dead {
-			return
-		}
 		u.budget.Release(now, false)
-		failed := r.faults.FailLoads > 0 && r.rand.Float64() < r.faults.FailLoads
-		for _, t := range u.scheduler.LoadDone(now, o, !failed) {
-			f := u.flights[t]
-			u.drop(f)
-			r.send(now, f)
-		}
+		u.scheduler.LoadDone(now, o, true)
 		u.pump(now)
 	})
 }
-
-// die ends the runner and returns the requests that it had.
-func (u *runner) die() []*flight {
-	u.dead = true
-	lost := make([]*flight, 0, len(u.flights))
-	for _, f := range u.replay.result.inOrder(u.flights) {
-		u.drop(f)
-		lost = append(lost, f)
-	}
-	return lost
-}
--- a/workload/trace.go
+++ b/workload/trace.go
@@ -23,24 +23,15 @@
 // Options shape a trace.
 type Options struct {
 	Duration time.Duration
-	// FlashAt starts ten seconds in which a fifth of all requests goes to one
-	// adapter that was cold; 0 is never.
-	FlashAt time.Duration
-	Seed    uint64
-	// ShiftAt is when the popularity moves to other adapters; 0 is never.
-	ShiftAt time.Duration
+	Seed     uint64
 	// Skew is the exponent of the Zipf popularity.
 	Skew float64
 	// WakeShare of the adapters changes places in popularity within an hour.
 	WakeShare float64
 }
 
-const (
-	flashLength = 10 * time.Second
-	flashShare  = 0.2
-	// minTokens is the length of the shortest answer.
-	minTokens = 4
-)
+// minTokens is the length of the shortest answer.
+const minTokens = 4
 
 // generator holds the state of one trace.
 type generator struct {
@@ -65,21 +56,15 @@
 	g.shuffle()
 	swaps := o.WakeShare * float64(e.Adapters) / time.Hour.Seconds() / e.RequestsPerSecond
 	var requests []Request
-	shifted := o.ShiftAt == 0
 	for at := time.Duration(0); ; {
 		at += time.Duration(g.rand.ExpFloat64() / e.RequestsPerSecond * float64(time.Second))
 		if at >= o.Duration {
 			return requests
 		}
-		if !shifted && at >= o.ShiftAt {
-			g.shuffle()
-			shifted = true
-		}
 		if g.rand.Float64() < swaps {
 			g.swap()
 		}
-		flash := o.FlashAt > 0 && at >= o.FlashAt && at < o.FlashAt+flashLength
-		requests = append(requests, g.request(at, flash))
+		requests = append(requests, g.request(at))
 	}
 }
 
@@ -93,11 +78,8 @@
 	return sandbarrow.BaseModelID("base-" + strconv.Itoa(i%e.BaseModels))
 }
 
-func (g *generator) request(at time.Duration, flash bool) Request {
+func (g *generator) request(at time.Duration) Request {
 	rank := sort.SearchFloat64s(g.cumulative, g.rand.Float64())
-	if flash && g.rand.Float64() < flashShare {
-		rank = len(g.order) - 1
-	}
 	adapter := g.order[min(rank, len(g.order)-1)]
 	class := g.class()
 	return Request{
