--- a/route/route.go
+++ b/route/route.go
@@ -40,9 +40,7 @@
 	Kind Kind
 	// MaxAttempts is the largest number of upstreams for one request.
 	MaxAttempts int
-	// MaxGap is the longest pause between events of an answer in time.
-	MaxGap time.Duration
-	Name   string
+	Name        string
 	// Objective is the time within which an answer earns full credit.
 	Objective time.Duration
 	Prefix    string
@@ -78,22 +76,14 @@
 
 // Model is a base model that the engines of a service may hold.
 type Model struct {
-	AdapterMegabytes float64
-	ID               sandbarrow.BaseModelID
-	LoadTime         time.Duration
-	Megabytes        float64
+	ID sandbarrow.BaseModelID
 }
 
 // Engine describes the engines of a service.
 type Engine struct {
+	// AdapterSlots is the number of adapters that an engine holds at once.
 	AdapterSlots int
-	// Megabytes is the room for base models and adapters.
-	Megabytes float64
-	Models    []Model
-	// Slots is the number of requests in one batch.
-	Slots int
-	// Tokens is the memory for prompts.
-	Tokens int
+	Models       []Model
 }
 
 // Service is a set of upstreams that serve the same requests.
@@ -103,8 +93,6 @@
 	// HealthPath is the path of the upstreams' health check.
 	HealthPath string
 	ID         sandbarrow.ServiceID
-	// MaxConnections is what one upstream bears from all callers.
-	MaxConnections int
 }
 
 // Limits bound what a caller may send.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -211,10 +211,6 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if e.take(func(f *Faults) *int { return &f.RefuseRuns }) {
-		http.Error(w, "busy", http.StatusTooManyRequests)
-		return
-	}
 	g := &generation{
 		answered: b.Model,
 		id:       r.Header.Get("X-Request-Id"),
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -20,8 +20,6 @@
 	HangLoads int `json:"hang_loads"`
 	// LoseReplies cuts as many changing calls after they took effect.
 	LoseReplies int `json:"lose_replies"`
-	// RefuseRuns answers as many runs with 429 (engine).
-	RefuseRuns int `json:"refuse_runs"`
 	// Restart empties the engine and cuts what runs, at once.
 	Restart bool `json:"restart"`
 	// Truncate cuts as many answers in the middle (engine).
--- a/standin/weightstore.go
+++ b/standin/weightstore.go
@@ -21,12 +21,10 @@
 // WeightStore is a stand-in for the rate-limited store of adapter weights.
 type WeightStore struct {
 	faultSwitch
-	// Busy counts calls over the rate, Loads those served.
-	Busy, Loads atomic.Int64
-	active      atomic.Int64
-	handler     http.Handler
-	limit       *rate.Limiter
-	limits      WeightLimits
+	active  atomic.Int64
+	handler http.Handler
+	limit   *rate.Limiter
+	limits  WeightLimits
 }
 
 // NewWeightStore returns a weight store that holds every name.
@@ -41,7 +39,6 @@
 
 func (s *WeightStore) serve(w http.ResponseWriter, r *http.Request) {
 	if !s.limit.Allow() {
-		s.Busy.Add(1)
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "load rate exceeded", http.StatusTooManyRequests)
 		return
@@ -51,7 +48,6 @@
 	slowdown := max(1, float64(active)/float64(max(1, s.limits.Parallel)))
 	select {
 	case <-time.After(time.Duration(float64(s.limits.Load) * slowdown)):
-		s.Loads.Add(1)
 		_, _ = w.Write([]byte("weights"))
 	case <-r.Context().Done():
 	}
