--- /dev/null
+++ b/controller/pendingload_test.go
@@ -0,0 +1,28 @@
+package controller
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestValueOfLoad(t *testing.T) {
+	now := time.Now()
+	request := func(priority int, useful time.Duration) *pendingRequest {
+		return &pendingRequest{priority: priority, usefulUntil: now.Add(useful)}
+	}
+	for name, tc := range map[string]struct {
+		requests []*pendingRequest
+		want     float64
+	}{
+		"urgent":               {[]*pendingRequest{request(0, time.Second)}, 1},
+		"late":                 {[]*pendingRequest{request(0, -1)}, lateWorth},
+		"less urgent":          {[]*pendingRequest{request(1, time.Second)}, 1 / 1.4},
+		"the sum of its parts": {[]*pendingRequest{request(0, time.Second), request(0, -1)}, 1 + lateWorth},
+	} {
+		w := pendingLoad{requests: tc.requests}
+		assert.Assert(t, math.Abs(w.value(now)-tc.want) < 1e-9, name)
+	}
+}
--- /dev/null
+++ b/gateway/enginecost_test.go
@@ -0,0 +1,73 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"sandbarrow.example/sandbarrow"
+	"sandbarrow.example/sandbarrow/enginelink"
+)
+
+func TestSurveyOf(t *testing.T) {
+	for name, tc := range map[string]struct {
+		copies, loading int
+		demand          float64
+		copy, load      time.Duration
+	}{
+		"the first copy has no price":           {0, 0, 100, 0, loadDelay},
+		"another copy":                          {1, 0, 1, copyDelay, loadDelay},
+		"as many loads as are free":             {1, 7, 1, copyDelay, loadDelay},
+		"contention":                            {1, 11, 1, copyDelay * 3 / 2, loadDelay * 3 / 2},
+		"contention raises a copy by two":       {1, 71, 1, copyDelay * mostCrowding, loadDelay * 9},
+		"many requests share a copy":            {1, 0, 8, copyDelay / 2, loadDelay},
+		"many requests share several copies":    {2, 0, 8, copyDelay, loadDelay},
+		"many requests share one in contention": {1, 11, 16, copyDelay * 3 / 8, loadDelay * 3 / 2},
+	} {
+		got := surveyOf(tc.copies, tc.loading, tc.demand)
+		assert.Equal(t, got.copyDelay, tc.copy, name)
+		assert.Equal(t, got.loadDelay, tc.load, name)
+	}
+}
+
+// Without clock, lock or connection: the cost of one engine, part by part.
+func TestAppraise(t *testing.T) {
+	need := &need{key: sandbarrow.AdapterKey{Adapter: "a", Model: testModel}, tokens: 1000, untilObjective: time.Second}
+	survey := &fleetSurvey{copyDelay: copyDelay, loadDelay: loadDelay}
+	with := func(change func(*candidate)) candidate {
+		e := candidate{connected: true, linkView: linkView{linked: true, status: enginelink.Status{
+			Free: 1, Models: []sandbarrow.BaseModelID{testModel},
+		}}}
+		change(&e)
+		return e
+	}
+	held := func(e *candidate) { e.held, e.status.Slots = true, loaded("a") }
+	for name, tc := range map[string]struct {
+		engine candidate
+		cost   time.Duration
+		ok     bool
+	}{
+		"holds it":               {with(held), 0, true},
+		"in another domain":      {with(func(e *candidate) { held(e); e.remote = true }), domainDelay, true},
+		"not connected":          {with(func(e *candidate) { held(e); e.connected = false }), connectDelay, true},
+		"requests run there":     {with(func(e *candidate) { held(e); e.status.Running = 4 }), 4 * runningDelay, true},
+		"prompts wait there":     {with(func(e *candidate) { held(e); e.waitingTokens = 1000 }), 1000 * tokenDelay, true},
+		"late":                   {with(func(e *candidate) { held(e); e.waitingTokens = 16_000 }), 16_000*tokenDelay + lateDelay, true},
+		"loads it":               {with(func(e *candidate) { e.held, e.status.Slots = true, loadingOf("a") }), loadDelay / 2, true},
+		"recalls it":             {with(func(e *candidate) { e.recallable = true }), recallDelay, true},
+		"loads it, second rank":  {with(func(e *candidate) { e.rank = 2 }), loadDelay + copyDelay + 2*rankDelay, true},
+		"late for a slot":        {with(func(e *candidate) { e.status.Free = 0 }), slotDelay + loadDelay + copyDelay + lateDelay, true},
+		"another model":          {with(func(e *candidate) { e.status.Models = nil }), 0, false},
+		"not linked, holds it":   {with(func(e *candidate) { e.linked, e.held, e.inFlight = false, true, 2 }), blindDelay + 6*runningDelay, true},
+		"not linked, without it": {with(func(e *candidate) { e.linked = false }), blindDelay, false},
+	} {
+		e := tc.engine
+		assert.Equal(t, e.appraise(need, survey), tc.ok, name)
+		assert.Equal(t, e.cost, tc.cost, name)
+	}
+}
+
+func loadingOf(adapter string) []enginelink.SlotStatus {
+	return []enginelink.SlotStatus{{Adapter: sandbarrow.AdapterID(adapter), Model: testModel, State: enginelink.SlotLoading}}
+}
