--- a/internal/systest/checkerself_test.go
+++ b/internal/systest/checkerself_test.go
@@ -22,7 +22,7 @@
 		return c, standin.Log{Runs: []standin.Run{{Model: "a@v1", Request: "id.1", Tag: c.tag()}}}
 	}
 	for name, tc := range map[string]struct {
-		break_ func(c *call, l *standin.Log)
+		tamper func(c *call, l *standin.Log)
 		want   string
 	}{
 		"nothing":     {func(*call, *standin.Log) {}, ""},
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, l := good()
-			tc.break_(c, &l)
+			tc.tamper(c, &l)
 			faults := check([]*call{c}, []standin.Log{l}, []string{"v1"})
 			assert.Equal(t, len(faults) > 0, tc.want != "", "%v", faults)
 			assert.Assert(t, strings.Contains(strings.Join(faults, "; "), tc.want), "%v", faults)
--- a/internal/systest/matrix_test.go
+++ b/internal/systest/matrix_test.go
@@ -54,7 +54,7 @@
 
 // steps bring a request to a step and return it.
 var steps = map[string]func(s *system, k kind) *call{
-	"dispatch": func(s *system, k kind) *call {
+	"dispatch": func(_ *system, k kind) *call {
 		return k.make("main") // started after the fault
 	},
 	"queue": func(s *system, k kind) *call {
@@ -215,7 +215,7 @@
 }
 
 // applies says why a cell does not apply, or returns "".
-func applies(k kind, step string, f fault) string {
+func applies(k kind, _ string, f fault) string {
 	if k.name == "once-service" && (f.name == "load-fails" || f.name == "load-hangs" || f.name == "engine-wrong-model" || f.name == "engine-truncates" || f.name == "engine-restart") {
 		return "a plain service has no adapters and is not an engine"
 	}
--- a/wire/stream_test.go
+++ b/wire/stream_test.go
@@ -95,7 +95,7 @@
 func FuzzReadObject(f *testing.F) {
 	f.Add(framed(`{"h":1,"n":2,"d":"aGk="}`))
 	f.Add([]byte{0, 0, 0, 1, '{'})
-	f.Fuzz(func(t *testing.T, raw []byte) {
+	f.Fuzz(func(_ *testing.T, raw []byte) {
 		if len(raw) > 1<<16 {
 			return
 		}
