--- /dev/null
+++ b/docs_test.go
@@ -0,0 +1,175 @@
+package sandbarrow_test
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"sandbarrow.example/sandbarrow/settings"
+)
+
+// The pages for operators and newcomers, and the directories of further ones.
+var (
+	pages = []string{"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/CAPACITY.md", "docs/DECISIONS.md",
+		"docs/FINDINGS.md", "docs/GLOSSARY.md", "docs/OPERATIONS.md", "docs/PROMISES.md"}
+	pageDirectories = []string{"docs/design", "docs/incidents"}
+)
+
+var (
+	link      = regexp.MustCompile(`\]\(([^)#:]+)\)`)
+	testName  = regexp.MustCompile("`(?:[a-z/]* )?((?:Test|Benchmark|Fuzz)[A-Za-z]+)[`/]")
+	metric    = regexp.MustCompile("`(sandbarrow_[a-z_]+)")
+	goFile    = regexp.MustCompile("`([a-z/]+/[a-z_]+\\.go)`")
+	deciders  = regexp.MustCompile("`([a-z/]+\\.go)`((?: ?,? ?`[A-Za-z]+`)+)")
+	function  = regexp.MustCompile("`([A-Za-z]+)`")
+	command   = regexp.MustCompile("`sandbarrow ([a-z]+)")
+	firstCell = regexp.MustCompile("(?m)^\\| `([a-z][a-z ,]+)`")
+)
+
+func read(t *testing.T, file string) string {
+	t.Helper()
+	text, err := os.ReadFile(file)
+	assert.NilError(t, err)
+	return string(text)
+}
+
+// source is the text of all Go files, of tests or of the product.
+func source(t *testing.T, tests bool) string {
+	t.Helper()
+	var all strings.Builder
+	assert.NilError(t, filepath.WalkDir(".", func(path string, entry os.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (path == ".git" || path == "journal") {
+			return filepath.SkipDir
+		}
+		if strings.HasSuffix(path, ".go") && strings.HasSuffix(path, "_test.go") == tests {
+			all.WriteString(read(t, path))
+		}
+		return nil
+	}))
+	return all.String()
+}
+
+func allPages(t *testing.T) []string {
+	t.Helper()
+	all := slices.Clone(pages)
+	for _, directory := range pageDirectories {
+		more, err := filepath.Glob(directory + "/*.md")
+		assert.NilError(t, err)
+		all = append(all, more...)
+	}
+	return all
+}
+
+// TestDocsNameWhatExists checks the links, tests, files, metrics and commands that
+// the pages name.
+func TestDocsNameWhatExists(t *testing.T) {
+	tests, product := source(t, true), source(t, false)
+	for _, page := range allPages(t) {
+		text := read(t, page)
+		for _, m := range link.FindAllStringSubmatch(text, -1) {
+			_, err := os.Stat(filepath.Join(filepath.Dir(page), m[1]))
+			assert.Check(t, err == nil, "%s links to %s", page, m[1])
+		}
+		for _, m := range testName.FindAllStringSubmatch(text, -1) {
+			assert.Check(t, strings.Contains(tests, "func "+m[1]+"("), "%s names the test %s", page, m[1])
+		}
+		for _, m := range command.FindAllStringSubmatch(text, -1) {
+			assert.Check(t, strings.Contains(product, `, "`+m[1]+`", "`), "%s names the command %s", page, m[1])
+		}
+		if !slices.Contains(pages, page) {
+			continue // notes and incidents may tell of what was
+		}
+		for _, m := range metric.FindAllStringSubmatch(text, -1) {
+			assert.Check(t, strings.Contains(product, `"`+m[1]+`"`), "%s names the metric %s", page, m[1])
+		}
+		for _, m := range goFile.FindAllStringSubmatch(text, -1) {
+			_, err := os.Stat(m[1])
+			assert.Check(t, err == nil, "%s names the file %s", page, m[1])
+		}
+	}
+}
+
+// TestDecisionsExist checks that each function that docs/DECISIONS.md names stands
+// in the file beside it.
+func TestDecisionsExist(t *testing.T) {
+	found := deciders.FindAllStringSubmatch(read(t, "docs/DECISIONS.md"), -1)
+	assert.Assert(t, len(found) > 30, "%d places are named", len(found))
+	for _, m := range found {
+		text := read(t, m[1])
+		for _, name := range function.FindAllStringSubmatch(m[2], -1) {
+			declared := regexp.MustCompile(`(?m)^func (\([^)]*\) )?` + name[1] + `\(`)
+			assert.Check(t, declared.MatchString(text), "%s has no function %s", m[1], name[1])
+		}
+	}
+}
+
+// TestLogEventsExist checks that the product writes each message of the tables of
+// log events.
+func TestLogEventsExist(t *testing.T) {
+	product := source(t, false)
+	text := read(t, "docs/OPERATIONS.md")
+	begin, end := strings.Index(text, "## Log events"), strings.Index(text, "## From a failed request")
+	assert.Assert(t, begin >= 0 && end > begin)
+	found := firstCell.FindAllStringSubmatch(text[begin:end], -1)
+	assert.Assert(t, len(found) > 20, "%d events are listed", len(found))
+	for _, m := range found {
+		assert.Check(t, strings.Contains(product, `"`+m[1]+`"`), "nothing writes %q", m[1])
+	}
+}
+
+// TestSettingsAreDocumented checks that docs/OPERATIONS.md names each key of the
+// settings, and no other.
+func TestSettingsAreDocumented(t *testing.T) {
+	text := read(t, "docs/OPERATIONS.md")
+	begin, end := strings.Index(text, "## Settings"), strings.Index(text, "## Log events")
+	assert.Assert(t, begin >= 0 && end > begin)
+	named := map[string]bool{}
+	for line := range strings.Lines(text[begin:end]) {
+		cells := strings.Split(line, "|")
+		if len(cells) < 3 {
+			continue
+		}
+		prefix := ""
+		for _, m := range regexp.MustCompile("`([a-z_.]+)`").FindAllStringSubmatch(cells[1], -1) {
+			key := m[1]
+			if strings.HasPrefix(key, ".") {
+				key = prefix + key
+			}
+			named[key] = true
+			prefix = key[:strings.LastIndex(key, ".")+1]
+			prefix = strings.TrimSuffix(prefix, ".")
+		}
+	}
+	keys := settingsKeys(reflect.TypeFor[settings.Settings](), "")
+	for _, key := range keys {
+		assert.Check(t, named[key], "%s is not documented", key)
+	}
+	for key := range named {
+		assert.Check(t, slices.Contains(keys, key), "%s is no setting", key)
+	}
+}
+
+// settingsKeys lists the keys below a type of the settings.
+func settingsKeys(of reflect.Type, prefix string) []string {
+	if of.Kind() == reflect.Pointer {
+		of = of.Elem()
+	}
+	if of.Kind() != reflect.Struct {
+		return []string{strings.TrimSuffix(prefix, ".")}
+	}
+	var keys []string
+	for i := range of.NumField() {
+		field := of.Field(i)
+		keys = append(keys, settingsKeys(field.Type, prefix+field.Tag.Get("json")+".")...)
+	}
+	return keys
+}
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -22,13 +22,15 @@
 )
 
 const (
-	// storeDialTimeout bounds a new connection to the platform's store.
+	// storeDialTimeout bounds a new connection to the platform's store. Estimate, not
+	// measured.
 	storeDialTimeout = 500 * time.Millisecond
-	// storeIdle is how long a connection to the store is kept.
+	// storeIdle is how long an idle connection to the store is kept. Estimate, not
+	// measured.
 	storeIdle = 20 * time.Second
 )
 
-// daemon is what the long-running commands of the direct path share.
+// daemon is what the commands gateway and controller share.
 type daemon struct {
 	file     string
 	logger   *slog.Logger
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -64,7 +64,7 @@
 	})
 }
 
-// The examples of the direct path are valid, and each fault in them is named.
+// The examples of the gateway path are valid, and each fault in them is named.
 func TestDirectPath(t *testing.T) {
 	for name, tc := range map[string]struct{ file, old, replaced, want string }{
 		"gateway":            {"gateway", "", "", ""},
