--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -52,7 +52,7 @@
 
 // refuseAtOnce decides which requests are not queued: those that the engine can't
 // serve, and those for which more prompts wait here than their gateway allows, so
-// that it chooses anew by this controller's own count.
+// that it chooses again by this controller's own count.
 //
 // Inputs: the engine's last report (0.25 s old at most, 15 ms while it loads), and
 // the prompt tokens that wait now. The caller holds mu.
@@ -192,12 +192,12 @@
 }
 
 // orphanGrace is how long a pin outlives its link: longer than a gateway needs to
-// link anew (0.15 s on average, forward.DialTimeout at most). Found by soak seed 3
+// link again (0.15 s on average, forward.DialTimeout at most). Found by soak seed 3
 // (commit 8ec2e77a).
 const orphanGrace = 800 * time.Millisecond
 
 // orphan keeps a pin whose link has ended for orphanGrace: the request may go on at
-// the engine while its gateway links anew. The caller holds mu.
+// the engine while its gateway links again. The caller holds mu.
 func (c *Controller) orphan(id sandbarrow.RequestID, p *pin) {
 	c.orphans[id] = p
 	time.AfterFunc(orphanGrace, func() {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -5,7 +5,7 @@
 // It owns the engine's adapter slots, the pins on them, the queue of pending loads
 // and all orders to the engine. It relies on the engine's reports, on the operators'
 // state (package estate), on the platform's store for its fencing token, and on
-// gateways for the pins that go on when it starts anew. Nothing it knows outlives
+// gateways for the pins that go on when it restarts. Nothing it knows outlives
 // the process.
 //
 // The rules, each in a file of its own: acquire.go (who is refused at once, how long
@@ -34,7 +34,7 @@
 
 const (
 	// watchWait is the longest wait of one watch of the operators' state. Each call has
-	// its price, and gateways bring what a lost watch would miss (commit 3cfdff41).
+	// its price, and gateways announce what a lost watch would miss (commit 3cfdff41).
 	watchWait = 12 * time.Second
 	// coveringLinks is how many linked gateways make an own watch needless: with two,
 	// one that is cut off from the store hides no change (commit 218327f3).
--- a/controller/engineloop.go
+++ b/controller/engineloop.go
@@ -75,7 +75,7 @@
 	c.sequence = r.Sequence
 	c.reported = r
 	c.slots.capacity = c.capacity()
-	c.slots.reconcile(now, r.Models, r.Coming)
+	c.slots.reconcile(now, r.Models, r.Loading)
 	c.slots.grantLoaded(now)
 	if c.slots.loading() > 0 || r.Busy {
 		return loadingPoll
--- a/controller/loadwindow.go
+++ b/controller/loadwindow.go
@@ -10,9 +10,9 @@
 	windowStep = 0.5
 	// windowCut is what a slow load takes from the window, in loads.
 	windowCut = 0.5
-	// crowdedRatio is how many times the fastest a load takes at least to count as
+	// contendedRatio is how many times the fastest a load takes at least to count as
 	// slow: loads alone vary by less, at twice the free loads they take twice as long.
-	crowdedRatio = 1.6
+	contendedRatio = 1.6
 )
 
 // loadWindow decides how many adapters this engine loads from the weight store at
@@ -42,7 +42,7 @@
 	if w.fastest == 0 || d < w.fastest {
 		w.fastest = d
 	}
-	if float64(d) > crowdedRatio*float64(w.fastest) {
+	if float64(d) > contendedRatio*float64(w.fastest) {
 		w.open = max(1, w.open-windowCut)
 		return
 	}
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -12,10 +12,10 @@
 const (
 	// orderTimeout bounds one order. The engine is on the same box and answers within
 	// milliseconds; an order without answer holds up those behind it, for 400 ms with
-	// the bound before (commit 7c5253b2), and the next report tells what became of it.
+	// the bound before (commit 7c5253b2), and the next report shows what became of it.
 	orderTimeout = 80 * time.Millisecond
 	// conflictPause follows a failed order. Estimate, not measured: the report after
-	// it tells what stands.
+	// it shows what stands.
 	conflictPause = 20 * time.Millisecond
 	// identifyPause follows a failed look at which instance answers. Estimate, not
 	// measured (commit 0dcc89c3).
@@ -106,7 +106,7 @@
 }
 
 // afterFailedOrder decides what follows a failed order, and when to look again. An
-// order without answer is not retried blindly: the next report tells whether the
+// order without answer is not retried blindly: the next report shows whether the
 // sequence has moved, and any later order moves it, so that a late one no longer
 // fits. A fenced one needs a newer token, a misdirected one another instance.
 func (c *Controller) afterFailedOrder(ctx context.Context, err error) time.Duration {
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -10,7 +10,7 @@
 
 // reconcile brings the slots in line with what the engine reports: what it has
 // loaded and what it loads. The report has the last word over what was ordered.
-func (s *slots) reconcile(now time.Time, models []sandbarrow.LoadedModel, loading []sandbarrow.ComingAdapter) {
+func (s *slots) reconcile(now time.Time, models []sandbarrow.LoadedModel, loading []sandbarrow.LoadingAdapter) {
 	held := map[sandbarrow.AdapterKey]bool{}
 	for _, m := range models {
 		for _, a := range m.Adapters {
@@ -68,7 +68,7 @@
 
 // applyOrder keeps that the engine has accepted an order; done says that it is
 // carried out already. An adapter that is still to be unloaded keeps its slot until
-// the engine reports it gone.
+// the engine no longer reports it.
 func (s *slots) applyOrder(now time.Time, o *sandbarrow.EngineOrder, done bool) {
 	key := sandbarrow.AdapterKey{Adapter: o.Adapter, Model: o.Model}
 	sl := s.slots[key]
--- a/directory/change.go
+++ b/directory/change.go
@@ -59,20 +59,20 @@
 	changed := map[sandbarrow.InstanceID]sandbarrow.KeyItem{}
 	for _, it := range items {
 		id := d.list.InstanceID(it.Key)
-		returned := last[id] // it was gone before in these changes
+		returned := last[id] // it was removed before in these changes
 		last[id] = it.Gone
 		if it.Gone || d.apply(it) || returned {
 			changed[id] = it
 		}
 	}
 	change.Items = slices.SortedFunc(maps.Values(changed), func(a, b sandbarrow.KeyItem) int { return cmp.Compare(a.Revision, b.Revision) })
-	var gone []sandbarrow.InstanceID
-	for id, isGone := range last {
-		if isGone {
-			gone = append(gone, id)
+	var left []sandbarrow.InstanceID
+	for id, removed := range last {
+		if removed {
+			left = append(left, id)
 		}
 	}
-	d.remove(gone)
+	d.remove(left)
 	d.publish()
 	return change
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -105,13 +105,13 @@
 		present[d.list.InstanceID(it.Key)] = true
 		d.apply(it)
 	}
-	var gone []sandbarrow.InstanceID
+	var left []sandbarrow.InstanceID
 	for id := range d.entries {
 		if !present[id] {
-			gone = append(gone, id)
+			left = append(left, id)
 		}
 	}
-	d.remove(gone)
+	d.remove(left)
 	d.publish()
 }
 
--- a/directory/lapse.go
+++ b/directory/lapse.go
@@ -34,8 +34,8 @@
 
 // remove takes upstreams that left the list out of use, at once or, after a lapse,
 // when lapseGrace is over. The caller holds mu.
-func (d *Directory) remove(gone []sandbarrow.InstanceID) {
-	gone = slices.DeleteFunc(gone, func(id sandbarrow.InstanceID) bool {
+func (d *Directory) remove(left []sandbarrow.InstanceID) {
+	left = slices.DeleteFunc(left, func(id sandbarrow.InstanceID) bool {
 		_, known := d.entries[id]
 		return !known
 	})
@@ -43,9 +43,9 @@
 	if !d.recoveredAt.IsZero() {
 		sinceOutage = time.Since(d.recoveredAt)
 	}
-	lapse := isLapse(len(gone), len(d.entries), sinceOutage)
-	for _, id := range gone {
-		d.logger.Info("upstream no longer listed", "upstream", string(id), "address", d.entries[id].instance.Address, "together", len(gone))
+	lapse := isLapse(len(left), len(d.entries), sinceOutage)
+	for _, id := range left {
+		d.logger.Info("upstream no longer listed", "upstream", string(id), "address", d.entries[id].instance.Address, "together", len(left))
 		if !lapse {
 			delete(d.entries, id)
 			continue
--- a/explain/line.go
+++ b/explain/line.go
@@ -1,5 +1,6 @@
 // Package explain tells the story of one request from the logs of any number of
-// processes: its own lines, and what its deciders came to believe meanwhile.
+// processes: its own lines, and what its deciders learnt meanwhile. It owns nothing and relies on
+// the names of log lines and of their attributes; the command explain uses it.
 package explain
 
 import (
@@ -15,7 +16,7 @@
 // maxLineBytes bounds one line of a log.
 const maxLineBytes = 1 << 20
 
-// The messages that tell of requests.
+// The messages about requests.
 const (
 	messageAttempt = "attempt"
 	messageRequest = "request"
--- a/explain/story.go
+++ b/explain/story.go
@@ -12,10 +12,10 @@
 	"github.com/juju/errors"
 )
 
-// ErrUnknown means that no line tells of a request.
+// ErrUnknown means that no line is about a request.
 const ErrUnknown = errors.ConstError("explain: no line tells of this request")
 
-// lead is how long before a request what its deciders came to believe counts.
+// lead is how long before a request what its deciders learnt counts.
 const lead = 3 * time.Second
 
 // Event is one line of a story.
@@ -23,11 +23,11 @@
 	// At is counted from the start of the request; negative before it.
 	At   time.Duration `json:"at_ns"`
 	Line Line          `json:"line"`
-	// Own says that the line is the request's own, not a belief.
+	// Own says that the line is the request's own, not one of what its deciders learnt.
 	Own bool `json:"own"`
 }
 
-// Story is what the logs tell of one request.
+// Story is what the logs show of one request.
 type Story struct {
 	Cause   string  `json:"cause"`
 	Events  []Event `json:"events"`
@@ -89,16 +89,15 @@
 	return s
 }
 
-// beliefs are the messages that tell what a process came to believe, and never
-// of another request.
-var beliefs = map[string]bool{
+// learnt are the messages about what a process learnt, never about another request.
+var learnt = map[string]bool{
 	"adapter version named": true, "configuration in force": true, "controller linked": true, "controller lost": true,
 	"engine identified": true, "engine draining": true, "engine lost": true, "engine regained": true, "engine restarted": true,
 	"fencing token": true, "gateway stops": true, "started": true, "stopped": true, "store lost": true, "store regained": true,
 	"upstream listed": true, "upstream no longer listed": true, "upstreams learnt from a peer": true,
 }
 
-// concerns reports whether a line tells what a decider of the request believed,
+// concerns reports whether a line is about what a decider of the request knew,
 // or what became of its adapter.
 func (s *subject) concerns(l *Line, skew time.Duration) bool {
 	if l.Time.Before(s.began.Add(-lead-skew)) || l.Time.After(s.ended.Add(skew)) || l.Request != "" {
@@ -110,12 +109,12 @@
 	case l.Adapter != "":
 		return l.Adapter == s.adapter
 	case s.boxes[l.Box]:
-		return beliefs[l.Message]
+		return learnt[l.Message]
 	}
-	return s.upstreams[l.Instance] && beliefs[l.Message]
+	return s.upstreams[l.Instance] && learnt[l.Message]
 }
 
-// causes tell what a reason means.
+// causes are the meanings of reasons.
 var causes = map[string]string{
 	"":                 "served, or answered with the upstream's own failure",
 	"bad-request":      "the request itself was malformed",
@@ -164,7 +163,7 @@
 	return nil
 }
 
-// plain are the attributes that a line of text tells elsewhere.
+// plain are the attributes that a line of text shows elsewhere.
 var plain = map[string]bool{"box": true, "failure_domain": true, "level": true, "msg": true, "request": true, "time": true}
 
 // details lists a line's other attributes by name.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -24,7 +24,7 @@
 }
 
 // attempts is what came of a call's attempts so far. The rules of retryrule.go
-// decide by it, the log lines tell it.
+// decide by it, the log lines show it.
 type attempts struct {
 	// sent counts the upstreams that got the request, ran those that may have run it.
 	sent, ran int
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -27,7 +27,7 @@
 )
 
 // controllerLink is the link to one controller: it dials it, speaks the protocol
-// with it, and keeps what it tells in a linkState.
+// with it, and keeps what it reports in a linkState.
 type controllerLink struct {
 	address string
 	cancel  context.CancelFunc
--- a/gateway/enginecost.go
+++ b/gateway/enginecost.go
@@ -46,10 +46,10 @@
 	// its slot and its share of the weight store. 1351 copies of 540 adapters became
 	// 793 of 598 on scale-1 of the registre deployment (commits cd83ede9, 25aca277).
 	copyDelay = 500 * time.Millisecond
-	// mostCrowding bounds how much contention at the weight store raises copyDelay:
+	// mostContention bounds how much contention at the weight store raises copyDelay:
 	// an engine that has many requests behind it needs a copy all the same. Without
 	// a bound 134 streams were given up after a loss of power (commit 2c9c43f1).
-	mostCrowding = 2
+	mostContention = 2
 	// copyUses is how many recent requests for each copy make another copy worth its
 	// price; beyond, the price falls (commit 2c66c6bd: 0.600 to 0.610 on trouble-2 of
 	// the grown address deployment).
@@ -112,10 +112,10 @@
 // Inputs: the engines that hold the adapter or can recall it, the loads under way
 // at all engines that were seen, and the recent requests for the adapter.
 func surveyOf(copies, loading int, demand float64) fleetSurvey {
-	crowd := time.Duration(max(freeLoads, loading+1))
-	f := fleetSurvey{loadDelay: loadDelay * crowd / freeLoads}
+	contending := time.Duration(max(freeLoads, loading+1))
+	f := fleetSurvey{loadDelay: loadDelay * contending / freeLoads}
 	if copies > 0 {
-		f.copyDelay = copyDelay * min(crowd, mostCrowding*freeLoads) / freeLoads
+		f.copyDelay = copyDelay * min(contending, mostContention*freeLoads) / freeLoads
 		f.copyDelay = time.Duration(float64(f.copyDelay) / max(1, demand/float64(copies)/copyUses))
 	}
 	return f
--- a/gateway/enginecost_test.go
+++ b/gateway/enginecost_test.go
@@ -20,7 +20,7 @@
 		"another copy":                          {1, 0, 1, copyDelay, loadDelay},
 		"as many loads as are free":             {1, 7, 1, copyDelay, loadDelay},
 		"contention":                            {1, 11, 1, copyDelay * 3 / 2, loadDelay * 3 / 2},
-		"contention raises a copy by two":       {1, 71, 1, copyDelay * mostCrowding, loadDelay * 9},
+		"contention raises a copy by two":       {1, 71, 1, copyDelay * mostContention, loadDelay * 9},
 		"many requests share a copy":            {1, 0, 8, copyDelay / 2, loadDelay},
 		"many requests share several copies":    {2, 0, 8, copyDelay, loadDelay},
 		"many requests share one in contention": {1, 11, 16, copyDelay * 3 / 8, loadDelay * 3 / 2},
--- a/gateway/health.go
+++ b/gateway/health.go
@@ -21,7 +21,7 @@
 	failurePenalty = 2 * time.Second
 )
 
-// upstreamHealth is what the answers of one upstream tell.
+// upstreamHealth is what the answers of one upstream show.
 type upstreamHealth struct {
 	at       time.Time
 	failures float64
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -24,13 +24,13 @@
 	// ownTokens are this gateway's prompt tokens that were asked for here and whose
 	// answer has not begun; countedTokens is the part that the last status counts.
 	ownTokens, countedTokens int
-	// pins are the pins that a controller must learn of when its link is up anew.
+	// pins are reported to the controller whenever its link comes up again.
 	pins map[sandbarrow.RequestID]*enginelink.Acquire
 }
 
 // linkView is one look at an engine on behalf of a request.
 type linkView struct {
-	// linked says that the controller is linked and has told what the engine holds.
+	// linked says that the controller is linked and has reported what the engine holds.
 	linked bool
 	// recallable says that the engine's own memory should hold the adapter.
 	recallable bool
@@ -153,7 +153,7 @@
 	return l.rpc != nil && now.Sub(l.lastContact) < enginelink.HeartbeatTimeout
 }
 
-// usableLocked reports whether the link is up and its controller has told what the
+// usableLocked reports whether the link is up and its controller has reported what the
 // engine holds.
 func (l *linkState) usableLocked(now time.Time) bool {
 	return l.upLocked(now) && len(l.status.Models)+len(l.status.Slots) > 0
--- a/gateway/listwatch.go
+++ b/gateway/listwatch.go
@@ -16,7 +16,7 @@
 	// all the time. Estimate, not measured.
 	listWait = 3 * time.Second
 	// listShare is the part of the bound for draining upstreams (setting leave_bound)
-	// after which the list is read anew. What another gateway has read may be as old
+	// after which the list is read again. What another gateway has read may be as old
 	// when it arrives: twice this part stays within the bound (commit c1a3d0d3: a
 	// third of all calls to the store before).
 	listShare = 0.4
@@ -27,7 +27,7 @@
 // only where nothing arrived in time.
 func (g *Gateway) listWatch() *prefixwatch.Watch {
 	return &prefixwatch.Watch{
-		Age: g.directory.Age, Consumer: sharedList{g}, Hurry: g.awaitsUpstreams, Logger: g.logger, Mark: g.directory.Mark,
+		Age: g.directory.Age, Consumer: sharedList{g}, Expecting: g.awaitsUpstreams, Logger: g.logger, Mark: g.directory.Mark,
 		Pace: time.Duration(listShare * float64(g.config.LeaveBound)), Prefix: g.config.Instances.Prefix(), Store: g.config.Store, Wait: listWait,
 	}
 }
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -19,7 +19,7 @@
 	// acquireWaits use up the timeout of the routes seen; set with commit 7c974e27,
 	// not measured by itself.
 	maxAcquires = 3
-	// maxBusy is how often a choice is made anew because more prompts wait at the
+	// maxBusy is how often a choice is repeated because more prompts wait at the
 	// engine than was known; after that the choice stands (commit 6bfa51a0).
 	maxBusy = 2
 	// enginesWait bounds the wait for any engine, as after a loss of all power
@@ -47,7 +47,7 @@
 	// why is the reason of the call's end where no other engine answers.
 	why reason
 	// acquires counts the engines that were asked for the adapter, busy the choices
-	// that were made anew.
+	// that were repeated.
 	acquires, busy int
 }
 
--- a/gateway/serveplain.go
+++ b/gateway/serveplain.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// tryPlain sends the request to one upstream and reads the whole answer. Where
+// tryPlain sends the request to one upstream and reads the complete answer. Where
 // another upstream may still run the request, it does not wait for much longer
 // than the objective.
 func (c *call) tryPlain(ctx context.Context, in *sandbarrow.Instance) (*wholeAnswer, error) {
@@ -109,7 +109,7 @@
 // with the least expected delay, or nil.
 //
 // Inputs: this gateway's requests in flight there for each slot, the penalty for
-// recent failures, and the failure domain. Nobody tells the load of other gateways.
+// recent failures, and the failure domain. The load from other gateways is not known.
 func (g *Gateway) choosePlain(c *call, excluded map[sandbarrow.InstanceID]bool) *sandbarrow.Instance {
 	now := time.Now()
 	var best *sandbarrow.Instance
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -11,7 +11,7 @@
 const (
 	// boundedLines is how many lines wait for a slow reader.
 	boundedLines = 2048
-	// lossPause is how often lost lines are told of.
+	// lossPause is how often lost lines are reported.
 	lossPause = time.Second
 )
 
@@ -35,15 +35,15 @@
 func (b *Bounded) Run(ctx context.Context) error {
 	ticker := time.NewTicker(lossPause)
 	defer ticker.Stop()
-	told := uint64(0)
+	reported := uint64(0)
 	for {
 		select {
 		case line := <-b.lines:
-			_, _ = b.under.Write(line) // there is nowhere to tell of it
+			_, _ = b.under.Write(line) // there is nowhere to report it
 		case <-ticker.C:
-			if n := b.dropped.Load(); n > told {
-				fmt.Fprintf(b.under, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n-told)
-				told = n
+			if n := b.dropped.Load(); n > reported {
+				fmt.Fprintf(b.under, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n-reported)
+				reported = n
 			}
 		case <-ctx.Done():
 			b.drain()
--- a/prefixstore.go
+++ b/prefixstore.go
@@ -8,7 +8,7 @@
 )
 
 // ErrStoreCompacted means that the store no longer holds the history that a
-// watch asked for; read the prefix anew.
+// watch asked for; read the prefix again.
 const ErrStoreCompacted = errors.ConstError("store: history compacted")
 
 // KeyItem is one key of a PrefixStore as it stood at Revision.
--- a/prefixwatch/prefixwatch.go
+++ b/prefixwatch/prefixwatch.go
@@ -23,9 +23,9 @@
 	// loss of all power, when calls to a store that did not answer took up to 2 s
 	// (commit 33ce94c1).
 	readTimeout = 900 * time.Millisecond
-	// hurriedPace is the shortest time between two watches while Hurry says so (commit
+	// expectingPace is the shortest time between two watches while Expecting says so (commit
 	// 33ce94c1).
-	hurriedPace = 150 * time.Millisecond
+	expectingPace = 150 * time.Millisecond
 	// paceSpread: the pace is shortened at random by up to one of so many parts
 	// (commit c1a3d0d3). Estimate, not measured by itself.
 	paceSpread = 3
@@ -55,9 +55,10 @@
 	// Covered says that other processes bring what changes, so that no call is made;
 	// nil never does.
 	Covered func() bool
-	// Hurry says that changes are awaited, so that the pace does not hold; nil never does.
-	Hurry  func() bool
-	Logger *slog.Logger
+	// Expecting says that changes are expected soon, so that expectingPace holds in
+	// place of a longer Pace; nil never does.
+	Expecting func() bool
+	Logger    *slog.Logger
 	// Mark is the revision up to which the consumer is complete, where other processes
 	// bring changes too.
 	Mark func() sandbarrow.StoreRevision
@@ -134,8 +135,8 @@
 }
 
 func (w *Watch) pace() time.Duration {
-	if w.Hurry != nil && w.Hurry() {
-		return min(w.Pace, hurriedPace)
+	if w.Expecting != nil && w.Expecting() {
+		return min(w.Pace, expectingPace)
 	}
 	return w.Pace
 }
--- a/prefixwatch/prefixwatch_test.go
+++ b/prefixwatch/prefixwatch_test.go
@@ -175,7 +175,7 @@
 	f := &faulty{Memory: store.NewMemory()}
 	v := &view{}
 	w := Watch{
-		Consumer: v, Hurry: func() bool { return true }, Logger: slog.New(slog.DiscardHandler), Pace: time.Hour, Prefix: "p/",
+		Consumer: v, Expecting: func() bool { return true }, Logger: slog.New(slog.DiscardHandler), Pace: time.Hour, Prefix: "p/",
 		Store: f, Wait: 50 * time.Millisecond,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/recall/memory.go
+++ b/recall/memory.go
@@ -1,5 +1,6 @@
-// Package recall estimates what an engine's own memory still holds: adapters
-// that left its slots lately load from there, without the weight store.
+// Package recall estimates what an engine's own memory still holds: adapters that
+// were unloaded recently load from there, without the weight store. It owns no more
+// than the order in which adapters were seen; gateways and controllers use it.
 package recall
 
 import (
@@ -8,8 +9,8 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// remembered is how many adapters an engine's own memory keeps beside its
-// slots, as far as one counts on it.
+// remembered is how many adapters an engine's own memory is expected to keep beside
+// its slots. Estimate from loads that were fast (commit cd83ede9), not measured.
 const remembered = 30
 
 // Memory is the order in which adapters were last seen in an engine's slots.
@@ -19,7 +20,7 @@
 	turn uint64
 }
 
-// Note takes the adapters that the engine holds now.
+// Note counts the adapters that the engine holds now as the last seen.
 func (m *Memory) Note(keys func(yield func(sandbarrow.AdapterKey) bool)) {
 	if m.seen == nil {
 		m.seen = map[sandbarrow.AdapterKey]uint64{}
