--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -9,6 +9,7 @@
 
 	"sandbarrow.example/sandbarrow"
 	"sandbarrow.example/sandbarrow/enginelink"
+	"sandbarrow.example/sandbarrow/internal/splitmix"
 )
 
 // candidate is one engine that accepts new work: what was seen of it at one moment,
@@ -58,21 +59,13 @@
 		}
 		e.connected = m.pool.HasIdle(now)
 		e.remote = m.instance.FailureDomain != g.config.Domain
-		e.rank = float64(scatter(affinity^m.hash)) / (1 << 64) * float64(len(members))
+		e.rank = float64(splitmix.Finalize(affinity^m.hash)) / (1 << 64) * float64(len(members))
 		e.inFlight, e.cost = g.health.look(now, m.instance.ID)
 		list = append(list, e)
 	}
 	return list
 }
 
-// scatter spreads the bits of a number (the finalizer of SplitMix64), so that
-// numbers that differ little rank differently.
-func scatter(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
 // holds reports whether the engine has what the request needs, or loads it.
 func (e *candidate) holds(n *need) bool {
 	if !e.linked {
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -7,18 +7,21 @@
 )
 
 const (
-	// rankPenalty is what each lower place in the ranking costs, in seconds.
+	// rankPenalty is what each lower rank costs, in seconds: less than any wait, so that
+	// it only decides between equals. Estimate, not measured.
 	rankPenalty = 0.02
-	// packing is what an empty batch costs at full batch weight, in seconds.
+	// packing is what an empty batch costs at full batch weight, in seconds. Set by the
+	// replay's BenchmarkBatchWeight (commit ea3775f; docs/design/placement.md).
 	packing = 2.0
-	// assumedLoad and assumedService stand in until an upstream reports them, in seconds.
+	// assumedLoad and assumedService stand in until an upstream reports them, in
+	// seconds. Estimates: a load took 1 s at both estates of the replay.
 	assumedLoad    = 1.0
 	assumedService = 1.0
 )
 
-// Affinity keeps each model on few upstreams: the first places of its ranking,
-// where it is loaded already or where a load costs least. A model spreads to
-// its next place when waiting at the first costs more than a load.
+// Affinity keeps each model on few upstreams: the first of its ranking, where it is
+// loaded already or where a load costs least. A model spreads to its next rank when
+// waiting at the first costs more than a load. It is safe for concurrent use.
 type Affinity struct {
 	fleet *Fleet
 }
@@ -28,17 +31,23 @@
 	return &Affinity{fleet: f}
 }
 
-// Choose returns the upstream with the lowest expected cost.
+// Choose decides which upstream gets a request: the one of lowest expected cost among
+// the first of the model's ranking, else the least busy one that suits; false where
+// none does.
+//
+// Inputs: what each upstream last reported (its load and what it has loaded, with the
+// lag of its status), the requests that this entry has there, and the operators'
+// weight of full batches.
 func (c *Affinity) Choose(_ time.Time, r *sandbarrow.RouteRequest) (int, bool) {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	best, bestCost, found := 0, 0.0, false
-	for place, i := range c.fleet.rank(r) {
+	for rank, i := range c.fleet.rank(r) {
 		u := &c.fleet.upstreams[i]
 		if !u.suits(int(i), r) {
 			continue
 		}
-		cost := u.cost(r) + rankPenalty*float64(place)
+		cost := u.cost(r) + rankPenalty*float64(rank)
 		if !found || cost < bestCost {
 			best, bestCost, found = int(i), cost, true
 		}
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -1,4 +1,6 @@
-// Package placement chooses an upstream for each request.
+// Package placement chooses an upstream for each request of an entry. It owns the
+// fleet as this entry knows it: what agents report and what is under way from here.
+// It relies on the entry to report both; only entries use it.
 package placement
 
 import (
--- a/placement/ranking.go
+++ b/placement/ranking.go
@@ -2,12 +2,15 @@
 
 import (
 	"sandbarrow.example/sandbarrow"
+	"sandbarrow.example/sandbarrow/internal/splitmix"
 )
 
 const (
-	// maxCached bounds the cached rankings; a ranking takes about 100 bytes.
+	// maxCached bounds the cached rankings: three times the adapters of the two-year
+	// plan, at 115 bytes each (docs/CAPACITY.md).
 	maxCached = 32768
-	// replicas is the number of upstreams that a model may spread over.
+	// replicas is the number of upstreams that a model may spread over. Estimate, not
+	// measured.
 	replicas = 8
 )
 
@@ -44,7 +47,7 @@
 		if u.info.BaseModel != r.BaseModel || u.info.Service != r.Service {
 			continue
 		}
-		ranked, scores = insertScore(ranked, scores, uint16(i), mix(u.hash^r.Hash))
+		ranked, scores = insertScore(ranked, scores, uint16(i), splitmix.Finalize(u.hash^r.Hash))
 	}
 	f.spreadDomains(ranked)
 	return ranked
@@ -86,12 +89,3 @@
 		return
 	}
 }
-
-// mix spreads the bits of x (the finalizer of splitmix64).
-func mix(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
-}
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -7,9 +7,12 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// GiveUp removes and returns the waiting tickets that can't meet their deadline
-// any more: too little time is left to run, or the loads that go before theirs
+// GiveUp decides which waiting tickets can't meet their deadline any more, removes and
+// returns them: too little time is left to run, or the loads that go before theirs
 // take too long.
+//
+// Inputs: the deadlines, the measured times of a run and of a load, the pace of loads
+// while others wait, and how overdue the next load is.
 func (s *Scheduler) GiveUp(now time.Time) []*Ticket {
 	var hopeless []*Ticket
 	soonest := now.Add(s.runTime(now))
@@ -43,7 +46,11 @@
 	return hopeless
 }
 
-// Submit queues a ticket, or refuses it at once if it can't meet its deadline.
+// Submit decides whether a ticket is admitted: it queues it, or refuses it at once
+// when it can't meet its deadline, its adapter has just failed to load or the queue is
+// full. The error is a *sandbarrow.Refusal with when to come back.
+//
+// Inputs: the tickets that wait and run, and the same measurements as GiveUp.
 func (s *Scheduler) Submit(now time.Time, t *Ticket) error {
 	if s.queued >= s.options.MaxQueued {
 		return sandbarrow.NotRun(sandbarrow.ReasonOverload, "the queue is full", s.expectedWait(now, t))
@@ -80,7 +87,7 @@
 	return nil
 }
 
-// expectedWait estimates the wait of a ticket that would come now.
+// expectedWait estimates the wait of a ticket that arrives now.
 func (s *Scheduler) expectedWait(now time.Time, t *Ticket) time.Duration {
 	ahead := max(0, s.queued+s.running-s.options.MaxRunning+1)
 	wait := s.runTime(now) * time.Duration(ahead) / time.Duration(s.options.MaxRunning)
@@ -168,32 +175,3 @@
 	age := now.Sub(s.epoch) - s.startSum/time.Duration(s.running)
 	return max(s.service.get(now), age)
 }
-
-// count adds one request to a model's demand.
-func (s *Scheduler) count(now time.Time, model sandbarrow.ModelRef) {
-	d := s.demands[model]
-	if d == nil {
-		s.forgetDemands(now)
-		d = &demand{at: now}
-		s.demands[model] = d
-	}
-	d.add(now, 1, demandHalfLife)
-}
-
-// forgetDemands drops the lowest half when there are too many.
-func (s *Scheduler) forgetDemands(now time.Time) {
-	if len(s.demands) < maxDemands {
-		return
-	}
-	rates := make([]float64, 0, len(s.demands))
-	for _, d := range s.demands {
-		rates = append(rates, d.value(now, demandHalfLife))
-	}
-	slices.Sort(rates)
-	median := rates[len(rates)/2]
-	for model, d := range s.demands {
-		if d.value(now, demandHalfLife) <= median {
-			delete(s.demands, model)
-		}
-	}
-}
--- a/schedule/estimate.go
+++ b/schedule/estimate.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// estimateHalfLife is how fast an estimate that gets no measurements falls back
-// to what is assumed. Without it a high estimate would refuse the very requests
-// that could show that it is out of date.
+// estimateHalfLife is how fast an estimate that gets no measurements falls back to
+// what is assumed. Without it a high estimate would refuse the very requests that
+// could show that it is out of date (docs/design/queueing.md); the figure itself is an
+// estimate, not measured.
 const estimateHalfLife = 10 * time.Second
 
 // estimate is a smoothed measurement of a time.
@@ -22,7 +23,7 @@
 	return estimate{assumed: assumed, value: assumed, weight: weight}
 }
 
-// add takes one measurement.
+// add counts one measurement.
 func (e *estimate) add(now time.Time, measured time.Duration) {
 	old := e.get(now)
 	e.value = old + time.Duration(e.weight*float64(measured-old))
@@ -34,6 +35,6 @@
 	if e.value <= e.assumed {
 		return e.value
 	}
-	faded := math.Exp2(-float64(now.Sub(e.at)) / float64(estimateHalfLife))
-	return e.assumed + time.Duration(float64(e.value-e.assumed)*faded)
+	left := math.Exp2(-float64(now.Sub(e.at)) / float64(estimateHalfLife))
+	return e.assumed + time.Duration(float64(e.value-e.assumed)*left)
 }
--- a/schedule/orders.go
+++ b/schedule/orders.go
@@ -7,7 +7,7 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// BeginOrder takes an order that NextOrder gave: its victim is unloading and
+// BeginOrder begins an order that NextOrder gave: its victim is unloading and
 // its model loading from now on.
 func (s *Scheduler) BeginOrder(now time.Time, o Order) {
 	if v := s.slots[o.Evict]; v != nil {
@@ -54,12 +54,14 @@
 	return failed
 }
 
-// NextOrder returns the load that helps most, if one can begin. Without mayEvict
-// it gives loads into free slots alone. A group that has waited long while all
-// adapters are busy gets one of them drained.
+// NextOrder decides which load begins next, and which adapter gives up its slot for
+// it; false where none can begin. The group whose first request is most urgent and
+// oldest goes first, where each further request counts as groupBonus of age. Without
+// mayEvict it gives loads into free slots alone. A group that has waited for drainAfter
+// while all adapters are busy gets one of them drained.
 func (s *Scheduler) NextOrder(now time.Time, mayEvict bool) (Order, bool) {
 	best := s.bestGroup(now, groupBonus, func(model sandbarrow.ModelRef, g *group) bool {
-		return s.slots[model] == nil && !now.Before(g.failedUntil) && !s.holds(now, g)
+		return s.slots[model] == nil && !now.Before(g.failedUntil) && !s.awaitsBatch(now, g)
 	})
 	if best == nil {
 		return Order{}, false
@@ -120,8 +122,8 @@
 	}
 }
 
-// holds reports whether a small group waits for its batch.
-func (s *Scheduler) holds(now time.Time, g *group) bool {
+// awaitsBatch reports whether a small group waits for its batch.
+func (s *Scheduler) awaitsBatch(now time.Time, g *group) bool {
 	if s.options.BatchWait == 0 || len(g.tickets) >= batchTarget || g.exempt() {
 		return false
 	}
@@ -168,7 +170,7 @@
 func (s *Scheduler) view(now time.Time, sl *slot) sandbarrow.SlotView {
 	v := sandbarrow.SlotView{LastUsed: sl.lastUsed, Loaded: sl.loadedAt, Model: sl.model}
 	if d := s.demands[sl.model]; d != nil {
-		v.Demand = d.value(now, demandHalfLife)
+		v.Demand = d.value(now)
 	}
 	return v
 }
--- a/schedule/replay_test.go
+++ b/schedule/replay_test.go
@@ -24,7 +24,7 @@
 type event struct {
 	at time.Time
 	do func(now time.Time)
-	// sequence keeps events of one time in the order of their making.
+	// sequence keeps events of one time in the order in which they were made.
 	sequence int
 }
 
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -9,27 +9,26 @@
 )
 
 const (
-	// batchTarget is the size of a group that ends its wait for a batch.
+	// batchTarget is the size of a group that ends its wait for a batch. Estimate, not
+	// measured by itself.
 	batchTarget = 4
-	// demandHalfLife is the half-life of an adapter's demand, in seconds.
-	demandHalfLife = 120
-	// maxDemands bounds the adapters whose demand is remembered.
-	maxDemands = 4096
-	// defaultLoad, defaultPace and defaultService are assumed until measured.
-	// Pace and service are assumed fast: a cold start must not refuse a burst
-	// before anything was measured.
+	// defaultLoad, defaultPace and defaultService are assumed until measured. Pace and
+	// service are assumed fast: a cold start must not refuse a burst before anything
+	// was measured (commit 4ca464a).
 	defaultLoad    = time.Second
 	defaultPace    = 100 * time.Millisecond
 	defaultService = 100 * time.Millisecond
 	// groupBonus is what each further ticket of a group is worth when loads are
-	// ordered: one load serves them all.
+	// ordered: one load serves them all (docs/design/loads.md, commit 1c7d2a7).
 	groupBonus = time.Second
-	// loadRetryPause is the pause after a failed load of an adapter.
+	// loadRetryPause is the pause after a failed load of an adapter. Estimate, not
+	// measured.
 	loadRetryPause = 2 * time.Second
-	// drainAfter is how long a group waits for an idle adapter to make place
-	// before a busy one is drained for it.
+	// drainAfter is how long a group waits for an idle adapter to make place before a
+	// busy one is drained for it (docs/design/loads.md, commit 7db70c8).
 	drainAfter = time.Second
-	// loadSmoothing and serviceSmoothing are the weights of a new measurement.
+	// loadSmoothing and serviceSmoothing are the weights of a new measurement, from 0
+	// to 1. Estimates, not measured.
 	loadSmoothing    = 0.3
 	serviceSmoothing = 0.1
 )
@@ -66,7 +65,9 @@
 	Service  time.Duration
 }
 
-// Scheduler decides for one upstream. It is not safe for concurrent use.
+// Scheduler decides for one upstream: admission.go who is admitted and who is given
+// up, orders.go what is loaded and evicted, NextStart who runs. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	demands map[sandbarrow.ModelRef]*demand
 	// draining is the model that was drained last, zero if it was given back.
@@ -104,7 +105,7 @@
 	}
 }
 
-// Adopt takes a model for loaded that the engine holds and that was not known.
+// Adopt counts a model as loaded that the engine holds and that was not known.
 func (s *Scheduler) Adopt(now time.Time, model sandbarrow.ModelRef) {
 	if s.slots[model] == nil {
 		s.slots[model] = &slot{model: model, loadedAt: now, lastUsed: now}
@@ -140,7 +141,8 @@
 	}
 }
 
-// NextStart moves the next ticket that can start to running, or returns nil.
+// NextStart decides which ticket starts next, the most urgent and oldest whose adapter
+// is loaded, and moves it to running; nil where none can start.
 func (s *Scheduler) NextStart(now time.Time) *Ticket {
 	if !s.draining.IsZero() && s.unloadedGroups(nil) == 0 {
 		s.undrain()
@@ -188,8 +190,8 @@
 	return true
 }
 
-// Reset replaces what is believed to be loaded, after a start of the agent or
-// of the engine. keepUntil protects what a previous agent may be running.
+// Reset replaces what is loaded as far as known, after a start of the agent or of the
+// engine. keepUntil protects what a previous agent may be running.
 func (s *Scheduler) Reset(now time.Time, loaded []sandbarrow.ModelRef, keepUntil time.Time) {
 	for _, sl := range s.slots {
 		if sl.isHeld() {
--- a/schedule/slot.go
+++ b/schedule/slot.go
@@ -1,18 +1,19 @@
 package schedule
 
 import (
-	"math"
 	"time"
 
 	"sandbarrow.example/sandbarrow"
 )
 
+// slotState says what an engine does with an adapter.
 type slotState int
 
+// The states of a slot.
 const (
 	slotLoaded slotState = iota
-	// slotDraining is loaded, but starts nothing new: it goes to a group that
-	// has waited long while no adapter was idle.
+	// slotDraining is loaded, but starts nothing new: it goes to a group that has
+	// waited for drainAfter while no adapter was idle.
 	slotDraining
 	slotLoading
 	slotUnloading
@@ -30,24 +31,7 @@
 	state     slotState
 }
 
-// isHeld reports whether the adapter is on the engine and not on its way.
+// isHeld reports whether the engine has the adapter, loaded in full.
 func (sl *slot) isHeld() bool {
 	return sl.state == slotLoaded || sl.state == slotDraining
 }
-
-// demand is a decayed rate of requests.
-type demand struct {
-	at   time.Time
-	rate float64
-}
-
-// add counts n requests at now, with decay over halfLife.
-func (d *demand) add(now time.Time, n, halfLife float64) {
-	d.rate = d.value(now, halfLife) + n*math.Ln2/halfLife
-	d.at = now
-}
-
-// value is the rate per second at now.
-func (d *demand) value(now time.Time, halfLife float64) float64 {
-	return d.rate * math.Exp2(-now.Sub(d.at).Seconds()/halfLife)
-}
--- a/schedule/ticket.go
+++ b/schedule/ticket.go
@@ -1,6 +1,8 @@
-// Package schedule decides, for one upstream, which waiting request starts
-// next and which adapter is loaded for whom. It holds no clock, no locks and
-// no connections: its owner tells it the time and what has happened.
+// Package schedule decides, for one upstream, which waiting request starts next and
+// which adapter is loaded for whom. It owns the queue, the slots and the measurements
+// of one upstream; it holds no clock, no locks and no connections: its owner, the
+// agent, passes the time and what has happened. It relies on sandbarrow.Evictor and
+// sandbarrow.QueueOrder for the rules that vary.
 package schedule
 
 import (
@@ -9,7 +11,8 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// maxGroupBonus bounds what the size of a group is worth.
+// maxGroupBonus bounds what the size of a group is worth, so that no cold adapter is
+// starved by a popular one. Estimate, not measured.
 const maxGroupBonus = 10 * time.Second
 
 // TicketState says how far a ticket has come.
@@ -33,7 +36,7 @@
 	Priority    int
 	// Stalled is the time the request waited for its adapter.
 	Stalled time.Duration
-	// Stall says that the adapter was not loaded when the request came.
+	// Stall says that the adapter was not loaded when the request arrived.
 	Stall bool
 	// Started is when the request started to run.
 	Started time.Time
