--- a/agent/connection.go
+++ b/agent/connection.go
@@ -17,13 +17,15 @@
 
 const (
 	// answerWait bounds how long a repeat waits for the first run's end.
+	// Estimate, not measured.
 	answerWait = 60 * time.Second
-	// entrySilence is the longest pause between messages of an entry: three of
-	// its idle heartbeats.
-	entrySilence = 3 * wire.IdleHeartbeat
-	// pullTimeout bounds a pull of the configuration from a peer.
+	// entryTimeout is the longest pause between messages of an entry: three of
+	// its idle heartbeats. Estimate, not measured.
+	entryTimeout = 3 * wire.IdleHeartbeat
+	// pullTimeout bounds a pull of the configuration from a peer. Estimate, not measured.
 	pullTimeout = 5 * time.Second
 	// revokeWait bounds how long a revoke waits for a claim to be released.
+	// Estimate, not measured.
 	revokeWait = time.Second
 )
 
@@ -221,7 +223,7 @@
 		working[at.conn.box] = true
 	}
 	for c := range a.conns {
-		if now.Sub(time.Unix(0, c.heard.Load())) > entrySilence {
+		if now.Sub(time.Unix(0, c.heard.Load())) > entryTimeout {
 			a.logger.Warn("entry is silent, connection closed")
 			go c.rpc.Close()
 			continue
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// loadTimeout bounds a load; an engine may hang.
+	// loadTimeout bounds a load; an engine may hang. Estimate, not measured.
 	loadTimeout = 20 * time.Second
 	// loadPatience is how many times the measured load time a load may take,
-	// but not less than loadTimeoutMin.
-	loadPatience   = 8
+	// but not less than loadTimeoutMin. Estimate, not measured.
+	loadPatience = 8
+	// loadTimeoutMin: estimate, not measured.
 	loadTimeoutMin = 2 * time.Second
-	// unloadTimeout bounds an unload.
+	// unloadTimeout bounds an unload. Estimate, not measured.
 	unloadTimeout = 5 * time.Second
 )
 
--- a/agent/state.go
+++ b/agent/state.go
@@ -10,12 +10,14 @@
 
 const (
 	// inheritGrace protects what a previous agent may still be running.
+	// Estimate, not measured.
 	inheritGrace = 10 * time.Second
-	// statePause is the pause between two looks at the engine.
+	// statePause is the pause between two looks at the engine. Estimate, not measured.
 	statePause = 500 * time.Millisecond
-	// stateTimeout bounds one look.
+	// stateTimeout bounds one look. Estimate, not measured.
 	stateTimeout = 2 * time.Second
 	// unreadyAfter is how many looks must fail before new work is refused.
+	// Estimate, not measured.
 	unreadyAfter = 2
 )
 
@@ -49,12 +51,14 @@
 	}
 }
 
-// refreshState compares what is believed to be loaded with the engine's list.
+// refreshState compares what is loaded as far as known with the engine's list. It
+// returns false when the engine does not answer.
 func (a *Agent) refreshState(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := a.engine.State(ctx)
 	if err != nil {
+		a.logger.Debug("engine state not read", "error", err.Error()) // a change of readiness is logged as such
 		return false
 	}
 	now := time.Now()
@@ -79,6 +83,7 @@
 	defer cancel()
 	state, err := a.engine.State(ctx)
 	if err != nil {
+		a.logger.Debug("engine state not read", "error", err.Error()) // the next look takes the list in
 		return
 	}
 	now := time.Now()
@@ -99,7 +104,7 @@
 	a.resident++
 }
 
-// adopt takes the engine's list for the truth after a start of either side.
+// adopt replaces what is loaded by the engine's list after a start of either side.
 // The caller holds mu.
 func (a *Agent) adopt(now time.Time, state sandbarrow.UpstreamState) {
 	var keepUntil time.Time
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -12,10 +12,11 @@
 
 const (
 	// idlePause is the pause between looks whether all work has ended.
+	// Estimate, not measured.
 	idlePause = 20 * time.Millisecond
-	// listPause is the pause between looks at the list of boxes.
+	// listPause is the pause between looks at the list of boxes. Estimate, not measured.
 	listPause = time.Second
-	// settlePause lets the last replies reach the entries.
+	// settlePause lets the last replies reach the entries. Estimate, not measured.
 	settlePause = 200 * time.Millisecond
 )
 
@@ -30,7 +31,7 @@
 func (a *Agent) watchBoxList(ctx context.Context) error {
 	for a.list != nil && ctx.Err() == nil {
 		boxes, err := a.list.Boxes(ctx)
-		if err == nil && isLeaving(boxes, a.settings.Box.ID) {
+		if err == nil && isDraining(boxes, a.settings.Box.ID) {
 			a.drain("box is leaving")
 		}
 		select {
@@ -41,7 +42,7 @@
 	return nil
 }
 
-func isLeaving(boxes []sandbarrow.Box, id sandbarrow.BoxID) bool {
+func isDraining(boxes []sandbarrow.Box, id sandbarrow.BoxID) bool {
 	for _, b := range boxes {
 		if b.ID == id {
 			return b.State == sandbarrow.BoxLeaving
--- a/claim/storeclaimer.go
+++ b/claim/storeclaimer.go
@@ -1,5 +1,8 @@
 // Package claim makes once-only requests run at most once, by records in the
-// platform's store.
+// platform's store: one key a request, written by compare-and-swap right before the
+// start and settled by reading back. It owns the keys under its prefix and relies on
+// sandbarrow.Store alone; agents start and release claims, entries void them. What was
+// weighed stands in docs/design/claims.md.
 package claim
 
 import (
@@ -27,16 +30,19 @@
 
 const (
 	// abandonLife is how long a claim without a run is remembered by its token;
-	// no lost write lands after that.
+	// no lost write lands after that. Estimate, not measured.
 	abandonLife = 10 * time.Minute
 	// claimTries bounds the rounds against racing writers and lost replies.
+	// Estimate, not measured.
 	claimTries = 6
 	keyPrefix  = "claims/"
 	// releasedSuffix keeps the token of a release apart from its claim's.
 	releasedSuffix = "-released"
 	// leaseSpan is how long processes put new claims under one lease.
+	// Estimate, not measured.
 	leaseSpan = time.Hour
-	// Retention is how long a claim is kept at least.
+	// Retention is how long a claim is kept at least: a repeat within a day never runs
+	// again (docs/OPERATIONS.md).
 	Retention = 24 * time.Hour
 )
 
--- a/config/follower.go
+++ b/config/follower.go
@@ -15,7 +15,7 @@
 )
 
 // followPause is the mean pause after a failed watch; it is jittered so that
-// boxes do not come back together after an outage.
+// boxes do not come back together after an outage. Estimate, not measured.
 const followPause = 500 * time.Millisecond
 
 // ErrReverts is the error of a head that is older than the one in force, or of
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -12,11 +12,13 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts bounds the attempts of one request. Estimate, not measured.
 	maxAttempts = 5
-	// noUpstreamPause is what callers are told when no upstream is there.
+	// noUpstreamPause is when callers may come back when no upstream is there.
+	// Estimate, not measured.
 	noUpstreamPause = 2 * time.Second
 	// settleTimeout bounds how long a lost once-only attempt is settled.
+	// Estimate, not measured.
 	settleTimeout = 2 * time.Second
 )
 
@@ -40,8 +42,10 @@
 	retry   bool
 }
 
-// dispatch makes attempts until one is final. It returns at once when the
-// request is given up.
+// dispatch makes attempts until one is final, and decides when a request is given up:
+// when no upstream suits, its verdict permits no retry, its deadline is over, the
+// caller has a part of the answer, or the retry budget is spent (but for retries that
+// cost nothing, since nothing ran). maxAttempts bounds them in any case.
 func (e *Entry) dispatch(ctx context.Context, j *job) (wire.AttemptResult, *sandbarrow.Refusal) {
 	ctx, cancel := context.WithDeadline(ctx, j.deadline)
 	defer cancel()
@@ -112,7 +116,12 @@
 	return judge(j, result)
 }
 
-// judge says what an agent's refusal means for the request.
+// judge decides what an agent's refusal means for the request.
+//
+// Inputs: the refusal's reason and outcome, and whether the request is once-only. A
+// draining or replaced agent costs nothing and is retried elsewhere; a deadline or a
+// store that does not answer is the same elsewhere. Otherwise a request is retried
+// when it did not run, or may run twice.
 func judge(j *job, result wire.AttemptResult) verdict {
 	refusal := &sandbarrow.Refusal{
 		Detail:     result.Detail,
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout bounds the opening of a connection. Estimate, not measured.
 	dialTimeout = time.Second
 	// lanes is the number of connections to one agent. One connection decodes
 	// its messages one by one, which bounds it to about 12,000 requests a second.
 	lanes = 4
-	// revokeTimeout bounds the wait for a revoke's reply.
+	// revokeTimeout bounds the wait for a revoke's reply. Estimate, not measured.
 	revokeTimeout = 1500 * time.Millisecond
 )
 
@@ -38,14 +38,14 @@
 
 // peer is the link to one agent. Lane 0 carries its status too.
 type peer struct {
-	box      sandbarrow.Box
-	entry    *Entry
-	handle   atomic.Uint64
-	heard    atomic.Int64 // Unix nanoseconds of the last message
-	hello    wire.HelloReply
-	index    int
-	inflight atomic.Int64
-	lanes    []*jsonrpc2.Conn
+	box         sandbarrow.Box
+	entry       *Entry
+	handle      atomic.Uint64
+	lastContact atomic.Int64 // Unix nanoseconds of the last message
+	hello       wire.HelloReply
+	index       int
+	inflight    atomic.Int64
+	lanes       []*jsonrpc2.Conn
 
 	mu      sync.Mutex
 	streams map[uint64]*answerStream
@@ -54,7 +54,7 @@
 // dial opens the lanes and exchanges greetings.
 func (e *Entry) dial(ctx context.Context, box sandbarrow.Box) (*peer, error) {
 	p := &peer{box: box, entry: e, streams: map[uint64]*answerStream{}}
-	p.heard.Store(time.Now().UnixNano())
+	p.lastContact.Store(time.Now().UnixNano())
 	ready := make(chan struct{})
 	for i := range lanes {
 		reply, err := p.openLane(ctx, i > 0, ready)
@@ -77,7 +77,7 @@
 		MaxRunning:    p.hello.MaxRunning,
 		Service:       p.hello.Service,
 	})
-	p.takeStatus(ctx, p.hello.Status)
+	p.applyStatus(ctx, p.hello.Status)
 	close(ready)
 	return p, nil
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// run watches the lanes until one ends. A frozen agent counts as gone.
+// run watches the lanes until one ends. A frozen agent counts as unreachable.
 func (p *peer) run(ctx context.Context) {
 	defer p.close()
 	ended := make(chan struct{}, lanes)
@@ -135,9 +135,9 @@
 		case <-ended:
 			return
 		case <-t.C:
-			quiet := time.Since(time.Unix(0, p.heard.Load()))
-			if quiet > p.patience() {
-				p.entry.logger.Warn("agent is silent, connection closed", "agent", string(p.box.ID), "silence", quiet.String())
+			since := time.Since(time.Unix(0, p.lastContact.Load()))
+			if since > p.patience() {
+				p.entry.logger.Warn("agent is silent, connection closed", "agent", string(p.box.ID), "silence", since.String())
 				return
 			}
 			if p.inflight.Load() > 0 || time.Since(marked) >= wire.IdleHeartbeat {
@@ -148,10 +148,11 @@
 	}
 }
 
-// patience is how long the agent may be silent before it counts as gone.
+// patience is how long nothing may arrive from the agent before it counts as
+// unreachable.
 func (p *peer) patience() time.Duration {
 	if p.inflight.Load() > 0 {
-		return wire.Silence
+		return wire.HeartbeatTimeout
 	}
 	return 3 * wire.IdleHeartbeat
 }
@@ -161,7 +162,7 @@
 }
 
 func (p *peer) handleMessage(ctx context.Context, r *jsonrpc2.Request) (any, error) {
-	p.heard.Store(time.Now().UnixNano())
+	p.lastContact.Store(time.Now().UnixNano())
 	switch r.Method {
 	case wire.MethodConfigPull:
 		return wire.Later(p.lanes[0], r, func(q wire.ConfigPull) any { return wire.ReplyTo(q, p.entry.follower.Snapshot()) })
@@ -182,13 +183,13 @@
 		if err := wire.Decode(r, &s); err != nil {
 			return nil, err
 		}
-		p.takeStatus(ctx, s)
+		p.applyStatus(ctx, s)
 		return nil, nil
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
 
-func (p *peer) takeStatus(ctx context.Context, s wire.Status) {
+func (p *peer) applyStatus(ctx context.Context, s wire.Status) {
 	f := p.entry.fleet
 	f.SetLoad(p.index, placement.Load{
 		LoadTime:    wire.Duration(s.LoadMS),
@@ -203,7 +204,7 @@
 		}
 		f.SetResident(p.index, hashes)
 	}
-	f.SetAvailable(p.index, !s.Draining && !s.Unready && !p.entry.isLeaving(p.box.ID))
+	f.SetAvailable(p.index, !s.Draining && !s.Unready && !p.entry.isDraining(p.box.ID))
 	if s.Config.Revision > p.entry.follower.Mark().Revision {
 		go p.pull(ctx, s)
 	}
@@ -220,8 +221,8 @@
 // attempt runs one attempt. When ctx ends first it is revoked.
 func (p *peer) attempt(ctx context.Context, req wire.AttemptRequest, s *answerStream) (wire.AttemptResult, error) {
 	if p.inflight.Add(1) == 1 {
-		// The agent owes a sign of life from now on.
-		p.heard.Store(time.Now().UnixNano())
+		// The agent sends heartbeats from now on.
+		p.lastContact.Store(time.Now().UnixNano())
 	}
 	defer p.inflight.Add(-1)
 	req.Handle = p.handle.Add(1)
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -10,8 +10,9 @@
 
 const (
 	// listPause is the mean pause between looks at the list of boxes.
+	// Estimate, not measured.
 	listPause = 500 * time.Millisecond
-	// redialPause is the mean pause after a failed dial.
+	// redialPause is the mean pause after a failed dial. Estimate, not measured.
 	redialPause = 300 * time.Millisecond
 )
 
@@ -152,7 +153,7 @@
 	return len(e.peers)
 }
 
-func (e *Entry) isLeaving(id sandbarrow.BoxID) bool {
+func (e *Entry) isDraining(id sandbarrow.BoxID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leaving[id]
--- a/entry/server.go
+++ b/entry/server.go
@@ -32,9 +32,10 @@
 )
 
 const (
-	// maxDeadline bounds the deadline that a caller may state.
+	// maxDeadline bounds the deadline that a caller may state. Estimate, not measured.
 	maxDeadline = 10 * time.Minute
 	// maxDrainBytes bounds what is read of a body that is too large.
+	// Estimate, not measured.
 	maxDrainBytes = 64 << 20
 )
 
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -1,5 +1,7 @@
-// Package lease holds a lease on a key of the platform's store. The store's
-// revision of the key is the fencing token.
+// Package lease holds a lease on a key of the platform's store; the store's revision of
+// the key is the fencing token. It owns one lease a Holder and relies on
+// sandbarrow.Store and a monotonic clock; agents use it. docs/design/membership.md has
+// what was weighed.
 package lease
 
 import (
@@ -30,8 +32,9 @@
 const (
 	// marginShare is the share of the ttl that a lease ends early here, for
 	// the time that an order is on its way and for clocks that drift.
+	// Estimate, not measured.
 	marginShare = 4
-	// renewShare is the share of the ttl between renewals.
+	// renewShare is the share of the ttl between renewals. Estimate, not measured.
 	renewShare = 3
 )
 
@@ -42,7 +45,7 @@
 	Token sandbarrow.FencingToken
 }
 
-// Holder acquires and keeps one lease.
+// Holder acquires and keeps one lease. It is safe for concurrent use.
 type Holder struct {
 	key    string
 	logger *slog.Logger
@@ -75,7 +78,9 @@
 	return h
 }
 
-// Check says what is known now. Ask right before each order is sent.
+// Check decides whether an order may be sent now, by the lease alone: Held until a
+// quarter of its life before its end, Outage when it lapsed while the store could not
+// be reached, else Lost. Ask right before each order is sent.
 func (h *Holder) Check() Grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/upstream/enginestream.go
+++ b/upstream/enginestream.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// maxResumes is how often a cut stream is resumed.
+	// maxResumes is how often a cut stream is resumed. Estimate, not measured.
 	maxResumes = 2
-	// maxEventBytes bounds one event of a stream.
-	maxEventBytes     = 1 << 20
+	// maxEventBytes bounds one event of a stream. Estimate, not measured.
+	maxEventBytes = 1 << 20
+	// streamBufferBytes: estimate, not measured.
 	streamBufferBytes = 32 << 10
 )
 
--- a/upstream/httpcall.go
+++ b/upstream/httpcall.go
@@ -16,7 +16,7 @@
 // requestIDHeader carries the request's id to the upstream.
 const requestIDHeader = "X-Request-Id"
 
-// maxErrorBytes bounds what is read of an error answer.
+// maxErrorBytes bounds what is read of an error answer. Estimate, not measured.
 const maxErrorBytes = 4 << 10
 
 // newClient returns a client that ends calls with their context. It uses
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -4,14 +4,14 @@
 
 const (
 	// Heartbeat is the pause between two signs of life while work is in
-	// progress between an entry and an agent.
+	// progress between an entry and an agent. Estimate, not measured.
 	Heartbeat = 500 * time.Millisecond
 	// IdleHeartbeat is the pause while nothing is, which keeps a link that only
-	// waits within the bytes that a node may spend for control.
+	// waits within the bytes that a node may spend for control. Estimate, not measured.
 	IdleHeartbeat = 5 * time.Second
-	// Silence is how long a peer with work in progress may be silent before it
-	// counts as gone.
-	Silence = 3 * Heartbeat
+	// HeartbeatTimeout is how long nothing may arrive from a peer with work in progress
+	// before it counts as unreachable.
+	HeartbeatTimeout = 3 * Heartbeat
 )
 
 // Same reports whether s tells an entry nothing that it has not read in sent.
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -14,13 +14,16 @@
 )
 
 const (
-	// MaxMessageBytes bounds one message in either direction.
+	// MaxMessageBytes bounds one message in either direction. Estimate, not measured.
 	MaxMessageBytes = 16 << 20
 	// maxPendingBytes is how much may wait for a slow peer before writers block.
+	// Estimate, not measured.
 	maxPendingBytes = 4 << 20
 	// maxSpareBytes is the largest buffer that is kept for the next writes.
-	maxSpareBytes   = 256 << 10
-	lengthBytes     = 4
+	// Estimate, not measured.
+	maxSpareBytes = 256 << 10
+	lengthBytes   = 4
+	// readBufferBytes: estimate, not measured.
 	readBufferBytes = 16 << 10
 )
 
