--- a/gateway/enginecost_test.go
+++ b/gateway/enginecost_test.go
@@ -53,7 +53,7 @@
 		"not connected":          {with(func(e *candidate) { held(e); e.connected = false }), connectDelay, true},
 		"requests run there":     {with(func(e *candidate) { held(e); e.status.Running = 4 }), 4 * runningDelay, true},
 		"prompts wait there":     {with(func(e *candidate) { held(e); e.waitingTokens = 1000 }), 1000 * tokenDelay, true},
-		"late":                   {with(func(e *candidate) { held(e); e.waitingTokens = 16_000 }), 16_000*tokenDelay + lateDelay, true},
+		"late":                   {with(func(e *candidate) { held(e); e.waitingTokens = 17_000 }), 17_000*tokenDelay + lateDelay, true},
 		"loads it":               {with(func(e *candidate) { e.held, e.status.Slots = true, loadingOf("a") }), loadDelay / 2, true},
 		"recalls it":             {with(func(e *candidate) { e.recallable = true }), recallDelay, true},
 		"loads it, second rank":  {with(func(e *candidate) { e.rank = 2 }), loadDelay + copyDelay + 2*rankDelay, true},
