--- a/gateway/call.go
+++ b/gateway/call.go
@@ -36,6 +36,8 @@
 	acquired time.Duration
 	// failure is an engine's own failure, passed on where no other engine answers.
 	failure *wholeAnswer
+	// cause is why the last attempt at an engine did not answer, for its log line.
+	cause string
 }
 
 // streamState is how far a streamed answer is.
--- a/gateway/passanswer.go
+++ b/gateway/passanswer.go
@@ -1,26 +1,35 @@
 package gateway
 
 import (
+	"context"
 	"io"
 	"net/http"
 	"strconv"
 	"time"
 
+	"github.com/juju/errors"
+
 	"sandbarrow.example/sandbarrow"
 	"sandbarrow.example/sandbarrow/enginelink"
 	"sandbarrow.example/sandbarrow/forward"
 )
 
+// errNotNext means that an event does not continue what the caller has.
+const errNotNext = errors.ConstError("gateway: event does not follow the last one")
+
 // passWhole passes on an engine's answer that is no stream.
-func (c *call) passWhole(a *forward.Answer) verdict {
+func (c *call) passWhole(ctx context.Context, a *forward.Answer) verdict {
 	body, err := a.Body(maxAnswerBytes)
-	if err != nil || c.committed {
-		return verdictBroken
+	if err != nil {
+		return c.end(ctx, verdictBroken, err)
+	}
+	if c.committed {
+		return c.end(ctx, verdictBroken, errors.Errorf("status %d within a stream", a.Status))
 	}
 	whole := &wholeAnswer{answer: a, body: body}
 	if a.Status >= http.StatusInternalServerError {
 		c.failure = whole
-		return verdictFailed
+		return c.end(ctx, verdictFailed, errors.Errorf("status %d", a.Status))
 	}
 	c.ran++
 	c.pass(whole)
@@ -29,7 +38,7 @@
 
 // passEvents passes events on as they arrive, complete ones only, so that another
 // engine can continue after the last.
-func (c *call) passEvents(a *forward.Answer, e *candidate, p *progress) verdict {
+func (c *call) passEvents(ctx context.Context, a *forward.Answer, e *candidate, p *progress) verdict {
 	control := http.NewResponseController(c.writer)
 	for {
 		event, err := a.Event()
@@ -39,20 +48,20 @@
 			return verdictAnswered
 		}
 		if err != nil {
-			return verdictBroken
+			return c.end(ctx, verdictBroken, err)
 		}
 		p.touch()
 		if !c.follows(event) {
-			return verdictBroken
+			return c.end(ctx, verdictBroken, errNotNext)
 		}
 		if !c.committed {
 			c.commit(a, e)
 		}
 		if _, err := c.writer.Write(event); err != nil {
-			return verdictBroken
+			return c.end(ctx, verdictBroken, errors.Annotate(err, "to the caller"))
 		}
 		if err := control.Flush(); err != nil {
-			return verdictBroken
+			return c.end(ctx, verdictBroken, errors.Annotate(err, "to the caller"))
 		}
 		c.events++
 	}
--- a/gateway/progress_test.go
+++ b/gateway/progress_test.go
@@ -1,6 +1,8 @@
 package gateway
 
 import (
+	"context"
+	"io"
 	"testing"
 	"time"
 
@@ -14,3 +16,14 @@
 	assert.Equal(t, longestPause(false, 100_000, true), unreachableGap)
 	assert.Equal(t, longestPause(true, 0, true), unreachableGap)
 }
+
+// A stalled attempt is logged as such, though it ends by its closed connection.
+func TestCauseOfAttempt(t *testing.T) {
+	c := &call{}
+	ctx, cancel := context.WithCancelCause(t.Context())
+	assert.Equal(t, c.end(ctx, verdictBroken, io.ErrUnexpectedEOF), verdictBroken)
+	assert.Equal(t, c.cause, io.ErrUnexpectedEOF.Error())
+	cancel(errStalled)
+	assert.Equal(t, c.end(ctx, verdictBroken, io.ErrUnexpectedEOF), verdictBroken)
+	assert.Equal(t, c.cause, errStalled.Error())
+}
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -178,7 +178,7 @@
 	result := c.tryEngine(ctx, e, version)
 	c.unpin(e)
 	if result != verdictAnswered {
-		c.logAttempt(e.instance.ID, result.String(), "", e)
+		c.logAttempt(e.instance.ID, result.String(), c.cause, e)
 	}
 	next, mayHaveRun, why := afterAttempt(result, c.committed, c.route.Repeatable())
 	if mayHaveRun {
@@ -231,20 +231,30 @@
 func (c *call) runEngine(ctx context.Context, e *candidate, version sandbarrow.AdapterVersion, p *progress) verdict {
 	a, err := c.gateway.pool(e.instance).Send(ctx, c.upstreamRequest(e.instance, version))
 	if errors.Is(err, forward.ErrNotSent) {
-		return verdictNotSent
+		return c.end(ctx, verdictNotSent, err)
 	}
 	c.sent++
 	c.last = e.instance.ID
 	if err != nil {
-		return verdictBroken
+		return c.end(ctx, verdictBroken, err)
 	}
 	defer a.Close()
 	if c.notRun(a) {
 		_, _ = a.Body(maxAnswerBytes) // read so that the connection can be kept
-		return verdictNotRun
+		return c.end(ctx, verdictNotRun, errors.Errorf("status %d", a.Status))
 	}
 	if a.Status != http.StatusOK || !strings.HasPrefix(a.Header.Get("Content-Type"), streamMediaType) {
-		return c.passWhole(a)
+		return c.passWhole(ctx, a)
 	}
-	return c.passEvents(a, e, p)
+	return c.passEvents(ctx, a, e, p)
+}
+
+// end keeps why an attempt did not answer, and returns its verdict. An attempt that
+// watchProgress ended failed for that, whatever error followed.
+func (c *call) end(ctx context.Context, v verdict, err error) verdict {
+	if cause := context.Cause(ctx); errors.Is(cause, errStalled) {
+		err = cause
+	}
+	c.cause = err.Error()
+	return v
 }
