--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -166,9 +166,9 @@
 	l.keepPin(q.ID, p)
 }
 
-// applyUse follows the progress of a pinned request: its answer has begun, or it is
+// applyProgress follows the progress of a pinned request: its answer has begun, or it is
 // done and its pin ends.
-func (l *link) applyUse(id sandbarrow.RequestID, done bool) {
+func (l *link) applyProgress(id sandbarrow.RequestID, done bool) {
 	c := l.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -254,7 +254,7 @@
 	}
 	_, held := f.loaded[key("new")]
 	assert.Assert(t, held)
-	l.applyUse("0", true)
+	l.applyProgress("0", true)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	assert.Equal(t, c.slots.pins[key("old0")], 0)
--- a/controller/engineloop.go
+++ b/controller/engineloop.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// capacity is the number of the engine's slots by the estate, 0 before it is
-// known. The caller holds mu.
+// capacity is the number of the engine's slots by the operators' state, 0 before that
+// is known. The caller holds mu.
 func (c *Controller) capacity() int {
 	service := c.ownService()
 	if service == nil || service.Engine == nil {
@@ -104,7 +104,8 @@
 	return service.Engine.AdapterSlots
 }
 
-// ownService is the engine's service by the estate, or nil where it is not known.
+// ownService is the engine's service by the operators' state, or nil where it is not
+// known.
 func (c *Controller) ownService() *route.Service {
 	view := c.estate.View()
 	if view == nil {
--- a/controller/gatewaylink.go
+++ b/controller/gatewaylink.go
@@ -37,6 +37,7 @@
 	return enginelink.Accept(ctx, listener, c.logger, c.serveLink)
 }
 
+// serveLink works over one connection until it ends. Its pins become orphans then.
 func (c *Controller) serveLink(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,6 +71,7 @@
 	c.wakeEngineLoop()
 }
 
+// handle serves one message of the gateway.
 func (l *link) handle(_ context.Context, r *jsonrpc2.Request) (any, error) {
 	c := l.controller
 	switch r.Method {
@@ -106,11 +108,11 @@
 		l.adopt(&q)
 		return nil, nil
 	case enginelink.MethodBegun, enginelink.MethodDone:
-		var u enginelink.Pin
-		if err := wire.Decode(r, &u); err != nil {
+		var p enginelink.Pin
+		if err := wire.Decode(r, &p); err != nil {
 			return nil, err
 		}
-		l.applyUse(u.ID, r.Method == enginelink.MethodDone)
+		l.applyProgress(p.ID, r.Method == enginelink.MethodDone)
 		return nil, nil
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
@@ -145,8 +147,7 @@
 }
 
 // relayUntilStatus passes on the messages of other gateways until there is a status
-// to send.
-// It returns false when the link has ended.
+// to send. It returns false when the link has ended.
 func (l *link) relayUntilStatus(ctx context.Context) bool {
 	for {
 		select {
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -87,6 +87,7 @@
 	l.lost("silent")
 }
 
+// lost marks the link as down.
 func (l *controllerLink) lost(how string) {
 	l.mu.Lock()
 	l.rpc = nil
@@ -94,6 +95,7 @@
 	l.gateway.logger.Warn("controller lost", "controller", l.address, "how", how)
 }
 
+// handle serves one message of the controller.
 func (l *controllerLink) handle(ctx context.Context, r *jsonrpc2.Request) (any, error) {
 	switch r.Method {
 	case enginelink.MethodStatus:
@@ -145,8 +147,8 @@
 	return g, err == nil
 }
 
-// report tells the controller of the progress of a pinned request, which ends its
-// pin with MethodDone.
+// report reports the progress of a pinned request to the controller; MethodDone ends
+// its pin.
 func (l *controllerLink) report(method string, id sandbarrow.RequestID) {
 	l.mu.Lock()
 	rpc := l.rpc
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,7 +61,7 @@
 
 // Config is what a Gateway needs.
 type Config struct {
-	// AcceptAfterStop is how long a stopping gateway takes new connections.
+	// AcceptAfterStop is how long a stopping gateway accepts new connections.
 	AcceptAfterStop time.Duration
 	// ControllerPort is the port of the controller on an engine's box.
 	ControllerPort string
@@ -70,7 +70,7 @@
 	Box            sandbarrow.BoxID
 	Headers        sandbarrow.HeaderNames
 	Instances      sandbarrow.InstanceList
-	// LeaveBound is how soon a leaving upstream must get nothing new.
+	// LeaveBound is how soon a draining upstream must get nothing new.
 	LeaveBound time.Duration
 	Logger     *slog.Logger
 	Metrics    prometheus.Registerer
