--- a/controller/orphan_test.go
+++ b/controller/orphan_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"testing"
 	"time"
@@ -66,3 +67,36 @@
 	assert.NilError(t, second.Close())
 	eventually(t, func() bool { return c.usesOf("a") == 0 })
 }
+
+// A controller that lost all its links for longer than orphanGrace may not know the
+// pins that a gateway took without it. It unloads nothing on behalf of the first
+// gateway that is linked again before the others had time to report theirs.
+// Known to fail: see KNOWN-RED.txt.
+func TestPinsOfAnotherGatewayAreAwaited(t *testing.T) {
+	f := newFakeEngine(testSlots)
+	f.models = []sandbarrow.BaseModelID{testModel}
+	for i := range testSlots {
+		f.loaded[key(fmt.Sprintf("old%d", i))] = 1
+	}
+	c := newTestController(t, f)
+	step(t, c)
+	for range 2 {
+		assert.NilError(t, linkTo(t.Context(), c, nil).Close())
+	}
+	eventually(t, func() bool { return c.linked() == 0 })
+	time.Sleep(orphanGrace + 100*time.Millisecond)
+	first := linkTo(t.Context(), c, nil)
+	eventually(t, func() bool { return c.linked() == 1 })
+	_, err := first.DispatchCall(t.Context(), enginelink.MethodAcquire, enginelink.Acquire{Adapter: "new", ID: "1", Model: testModel, WaitMS: 2000})
+	assert.NilError(t, err)
+	eventually(t, func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return c.slots.pending[key("new")] != nil
+	})
+	step(t, c)
+	for i := range testSlots {
+		_, held := f.loaded[key(fmt.Sprintf("old%d", i))]
+		assert.Check(t, held, "old%d was unloaded before the other gateway could report its pins", i)
+	}
+}
