--- a/availability/availability.go
+++ b/availability/availability.go
@@ -1,9 +1,9 @@
-// Package availability keeps what one process knows of each upstream, and decides whether a
-// request may be sent there now, and else when.
+// Package availability keeps one process's view of each upstream. It decides whether a request may
+// be sent to an upstream now, and otherwise when.
 //
-// It brings together the list of upstreams, the reports of the controllers beside engines, what
-// upstreams announce in their answers, the limits that they name (package throttle has the
-// rules of these) and the outcomes of the process's own requests. It owns what it remembers of
-// the last three, by the starts of upstreams, bounded, and forgets it. It has no clock, lock or
-// connection: its callers give the time and guard it.
+// It combines the list of upstreams, the reports of the controllers beside engines, the notices
+// that upstreams put into their responses, the limits that they name (see package throttle) and the
+// outcomes of the process's own requests. It stores notices, limits and outcomes by instance. Their
+// number is bounded, and they expire. The package has no clock, lock or connection: its callers
+// pass the time and serialize access.
 package availability
--- a/availability/end_test.go
+++ b/availability/end_test.go
@@ -8,19 +8,19 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-func TestFindEnd(t *testing.T) {
+func TestDetectExit(t *testing.T) {
 	in := &sandbarrow.Instance{ID: upstream}
 	for name, c := range map[string]struct {
 		listed *sandbarrow.Instance
 		report Report
 		want   EndEvidence
 	}{
-		"nothing known":       {nil, Report{}, ""},
-		"the same":            {in, Report{Instance: upstream}, ""},
-		"start not known":     {&sandbarrow.Instance{ID: "u"}, Report{Instance: "u"}, ""},
-		"another start":       {&sandbarrow.Instance{ID: restart}, Report{}, EndReplaced},
-		"another upstream":    {&sandbarrow.Instance{ID: "v"}, Report{}, EndReplaced},
-		"controller saw more": {in, Report{Instance: restart}, EndRestarted},
+		"nothing known":                       {nil, Report{}, ""},
+		"same instance":                       {in, Report{Instance: upstream}, ""},
+		"no start time":                       {&sandbarrow.Instance{ID: "u"}, Report{Instance: "u"}, ""},
+		"another instance":                    {&sandbarrow.Instance{ID: restarted}, Report{}, EndReplaced},
+		"another upstream":                    {&sandbarrow.Instance{ID: "v"}, Report{}, EndReplaced},
+		"controller reports another instance": {in, Report{Instance: restarted}, EndRestarted},
 	} {
 		assert.Equal(t, FindEnd(in, c.listed, c.report), c.want, name)
 	}
--- a/availability/notices.go
+++ b/availability/notices.go
@@ -8,111 +8,114 @@
 )
 
 const (
-	// keepFor is how long a notice is kept that nobody looks at, as of an upstream that is
-	// listed no more. One that is back in the list after an outage of the store still drains.
-	keepFor = 10 * time.Minute
-	// forgetPause is the pause between two looks for notices to be forgotten.
-	forgetPause = time.Second
-	// maxNotices bounds the notices that are kept, at some 100 bytes each; those give way that
-	// were looked at least recently.
+	// noticeRetention is how long a notice is kept after its last use, for example if its upstream
+	// is no longer listed. An upstream that returns to the list after an outage of the store is
+	// still draining.
+	noticeRetention = 10 * time.Minute
+	// expiryInterval is the minimum time between two scans for expired notices.
+	expiryInterval = time.Second
+	// maxNotices bounds the stored notices, at about 100 bytes each. The least recently used one is
+	// evicted.
 	maxNotices = 2048
 )
 
-// Notice is what an upstream has announced to this process, as it stands at one moment.
+// Notice is the state that an upstream has reported about itself in its responses, at one moment.
 type Notice struct {
-	// Backoff is for how long the upstream still wants no requests.
+	// Backoff is the time that is left of the upstream's backoff.
 	Backoff time.Duration
-	// Draining says that the upstream accepts no requests any more.
+	// Draining says that the upstream accepts no more requests.
 	Draining bool
-	// DrainingFor is how long ago it has announced that.
+	// DrainingFor is the time since the upstream first reported that it drains.
 	DrainingFor time.Duration
 }
 
-// word is what an upstream has announced.
-type word struct {
-	// backoffUntil and drainingSince are zero where it has announced neither.
+// noticeState is what an upstream has reported about itself.
+type noticeState struct {
+	// backoffUntil and drainingSince are zero if the upstream has reported neither.
 	backoffUntil, drainingSince time.Time
-	// listed says that the list has shown that it drains too.
+	// listed says that the list has shown the upstream as draining too.
 	listed bool
 }
 
-// notice is what one start of an upstream has announced.
-type notice struct {
-	word
-	// ended says that nothing listened at its address since then: what answers there under its
-	// id is its next start, which the list may not show yet.
-	ended bool
-	// next is what that start has announced.
-	next word
-	// used is when the notice was last announced or looked at.
-	used time.Time
+// noticeEntry is the notice of one instance.
+type noticeEntry struct {
+	noticeState
+	// exited says that a connection to its address was refused after its last notice. An upstream
+	// that responds there under the same id is the next instance, which the list may not show yet.
+	exited bool
+	// next is what the next instance has reported.
+	next noticeState
+	// lastUsed is when the notice was last updated or read.
+	lastUsed time.Time
 }
 
-// Change says what is new with an answer.
+// Change says what a response has changed.
 type Change struct {
-	// Backoff says that the upstream has begun to want no requests for a time.
+	// Backoff says that a backoff of the upstream has begun.
 	Backoff bool
-	// Draining says that the upstream has announced that it drains.
+	// Draining says that the upstream has reported for the first time that it drains.
 	Draining bool
 }
 
-// Notices keeps what upstreams announce of themselves in their answers, by their starts: one
-// that has started again has announced nothing. The zero Notices is empty.
+// Notices stores the notices that upstreams put into their responses, by instance: a restarted
+// upstream begins without one. The zero Notices is empty.
 type Notices struct {
-	byStart map[sandbarrow.InstanceID]*notice
-	// ended has the starts that have ended.
-	ended    map[sandbarrow.ListedID]sandbarrow.InstanceID
-	forgotAt time.Time
+	byInstance map[sandbarrow.InstanceID]*noticeEntry
+	// exited has the last instance of each upstream that is known to have exited.
+	exited    map[sandbarrow.ListedID]sandbarrow.InstanceID
+	expiredAt time.Time
 }
 
-// Apply notes what an answer of an upstream announces.
+// Apply applies the notice in a response of an upstream.
 //
-// Inputs: the start that was asked, the status of its answer and what the answer announces. The
-// answer of another instance, which has the address by now, says nothing.
-func (n *Notices) Apply(now time.Time, id sandbarrow.InstanceID, status int, a sandbarrow.Announcement) Change {
-	n.forget(now)
-	if status == http.StatusMisdirectedRequest || !a.Draining && a.Backoff <= 0 {
+// Inputs: the instance that the request was sent to, the status of the response and the notice in
+// it. A notice is ignored if the response is from another instance, which has taken over the
+// address.
+func (n *Notices) Apply(now time.Time, id sandbarrow.InstanceID, status int, notice sandbarrow.Announcement) Change {
+	n.expire(now)
+	if status == http.StatusMisdirectedRequest || !notice.Draining && notice.Backoff <= 0 {
 		return Change{}
 	}
 	e := n.entry(id)
-	e.used = now
-	w := &e.word
-	if e.ended {
-		w = &e.next
+	e.lastUsed = now
+	state := &e.noticeState
+	if e.exited {
+		state = &e.next
 	}
-	change := Change{Backoff: a.Backoff > 0 && !now.Before(w.backoffUntil), Draining: a.Draining && w.drainingSince.IsZero()}
+	change := Change{Backoff: notice.Backoff > 0 && !now.Before(state.backoffUntil), Draining: notice.Draining && state.drainingSince.IsZero()}
 	if change.Draining {
-		w.drainingSince = now
+		state.drainingSince = now
 	}
-	if until := now.Add(a.Backoff); until.After(w.backoffUntil) {
-		w.backoffUntil = until
+	if until := now.Add(notice.Backoff); until.After(state.backoffUntil) {
+		state.backoffUntil = until
 	}
 	return change
 }
 
-// Ended notes that nothing listened at the address of a start: what it has announced is not said of
-// what answers there later, and the reverse. Of an upstream that does not say when it started, all
-// starts have one id, and the next one has announced nothing.
+// Exited records that connections to the address of an instance are refused. Notices in later
+// responses from the address belong to the next instance, and earlier notices do not apply to it. If
+// an upstream does not report its start time, all its instances share one id. In this case the
+// stored notice is dropped.
 func (n *Notices) Ended(now time.Time, id sandbarrow.InstanceID) {
 	if id == sandbarrow.InstanceID(id.Listed()) {
 		n.drop(id)
 		return
 	}
 	e := n.entry(id)
-	e.ended, e.used = true, now
-	if n.ended == nil {
-		n.ended = map[sandbarrow.ListedID]sandbarrow.InstanceID{}
+	e.exited, e.lastUsed = true, now
+	if n.exited == nil {
+		n.exited = map[sandbarrow.ListedID]sandbarrow.InstanceID{}
 	}
-	n.ended[id.Listed()] = id
+	n.exited[id.Listed()] = id
 }
 
-// Look returns what an upstream has announced.
+// Check returns the current notice of an upstream.
 func (n *Notices) Look(now time.Time, id sandbarrow.InstanceID) Notice {
 	e := n.find(id)
 	if e == nil {
 		return Notice{}
 	}
-	e.used = now
+	e.lastUsed = now
 	until, since := e.backoffUntil, e.drainingSince
 	if e.next.backoffUntil.After(until) {
 		until = e.next.backoffUntil
@@ -120,21 +123,21 @@
 	if since.IsZero() {
 		since = e.next.drainingSince
 	}
-	l := Notice{Backoff: max(0, until.Sub(now)), Draining: !since.IsZero()}
-	if l.Draining {
-		l.DrainingFor = now.Sub(since)
+	notice := Notice{Backoff: max(0, until.Sub(now)), Draining: !since.IsZero()}
+	if notice.Draining {
+		notice.DrainingFor = now.Sub(since)
 	}
-	return l
+	return notice
 }
 
-// drains reports whether an upstream drains, by its entry in the list or by its own word. The list
-// may lag, or never show it; once it has, an entry that is ready again is that of another start,
-// also where neither says when it started.
+// drains reports whether an upstream drains, by its entry in the list or by its own notice. The
+// list may lag, or never show the drain. If the list has shown it and then shows the upstream as
+// ready, the entry is for another instance, even if the ids contain no start time.
 func (n *Notices) drains(now time.Time, in *sandbarrow.Instance) bool {
 	if !n.Look(now, in.ID).Draining {
 		return in.Draining
 	}
-	e := n.byStart[in.ID]
+	e := n.byInstance[in.ID]
 	if e.listed && !in.Draining {
 		n.drop(in.ID)
 		return false
@@ -143,10 +146,9 @@
 	return true
 }
 
-// Count counts the upstreams that have announced that they drain, and those that want no
-// requests now.
+// Count counts the upstreams that have reported that they drain, and those that are in backoff.
 func (n *Notices) Count(now time.Time) (draining, backoff int) {
-	for _, e := range n.byStart {
+	for _, e := range n.byInstance {
 		if !e.drainingSince.IsZero() || !e.next.drainingSince.IsZero() {
 			draining++
 		}
@@ -157,72 +159,72 @@
 	return draining, backoff
 }
 
-// Forget drops what a start has announced, as its process has ended.
+// Forget drops the notice of an instance whose process has exited.
 func (n *Notices) Forget(id sandbarrow.InstanceID) {
 	n.drop(id)
 }
 
-// find returns the notice of a start, or nil. A start of which nothing is known yet has announced
-// what was announced after the end of the one before it.
-func (n *Notices) find(id sandbarrow.InstanceID) *notice {
-	if e := n.byStart[id]; e != nil || len(n.ended) == 0 {
+// find returns the notice of an instance, or nil. An instance without a notice of its own gets the
+// notice that arrived after its predecessor had exited.
+func (n *Notices) find(id sandbarrow.InstanceID) *noticeEntry {
+	if e := n.byInstance[id]; e != nil || len(n.exited) == 0 {
 		return e
 	}
-	before, ended := n.ended[id.Listed()]
-	if !ended {
+	predecessor, exited := n.exited[id.Listed()]
+	if !exited {
 		return nil
 	}
-	next := &notice{word: n.byStart[before].next}
-	n.drop(before)
-	n.byStart[id] = next
+	next := &noticeEntry{noticeState: n.byInstance[predecessor].next}
+	n.drop(predecessor)
+	n.byInstance[id] = next
 	return next
 }
 
-// entry returns the notice of a start, a new one where there is none.
-func (n *Notices) entry(id sandbarrow.InstanceID) *notice {
+// entry returns the notice of an instance, and creates it if there is none.
+func (n *Notices) entry(id sandbarrow.InstanceID) *noticeEntry {
 	if e := n.find(id); e != nil {
 		return e
 	}
-	if n.byStart == nil {
-		n.byStart = map[sandbarrow.InstanceID]*notice{}
+	if n.byInstance == nil {
+		n.byInstance = map[sandbarrow.InstanceID]*noticeEntry{}
 	}
-	if len(n.byStart) >= maxNotices {
+	if len(n.byInstance) >= maxNotices {
 		n.dropOldest()
 	}
-	e := &notice{}
-	n.byStart[id] = e
+	e := &noticeEntry{}
+	n.byInstance[id] = e
 	return e
 }
 
-// drop drops the notice of a start.
+// drop drops the notice of an instance.
 func (n *Notices) drop(id sandbarrow.InstanceID) {
-	if n.ended[id.Listed()] == id {
-		delete(n.ended, id.Listed())
+	if n.exited[id.Listed()] == id {
+		delete(n.exited, id.Listed())
 	}
-	delete(n.byStart, id)
+	delete(n.byInstance, id)
 }
 
-// forget drops what nobody looks at any more, and backoffs that are over.
-func (n *Notices) forget(now time.Time) {
-	if now.Sub(n.forgotAt) < forgetPause {
+// expire drops notices that have not been used for noticeRetention, and backoffs that are over.
+func (n *Notices) expire(now time.Time) {
+	if now.Sub(n.expiredAt) < expiryInterval {
 		return
 	}
-	n.forgotAt = now
-	for id, e := range n.byStart {
-		over := e.drainingSince.IsZero() && !e.ended && !now.Before(e.backoffUntil)
-		if over || now.Sub(e.used) > keepFor {
+	n.expiredAt = now
+	for id, e := range n.byInstance {
+		expired := e.drainingSince.IsZero() && !e.exited && !now.Before(e.backoffUntil)
+		if expired || now.Sub(e.lastUsed) > noticeRetention {
 			n.drop(id)
 		}
 	}
 }
 
-// dropOldest drops the notice that was looked at least recently.
+// dropOldest drops the least recently used notice.
 func (n *Notices) dropOldest() {
 	var oldest sandbarrow.InstanceID
-	var least *notice
-	for id, e := range n.byStart {
-		if least == nil || e.used.Before(least.used) {
-			oldest, least = id, e
+	var oldestEntry *noticeEntry
+	for id, e := range n.byInstance {
+		if oldestEntry == nil || e.lastUsed.Before(oldestEntry.lastUsed) {
+			oldest, oldestEntry = id, e
 		}
 	}
 	n.drop(oldest)
--- a/availability/notices_test.go
+++ b/availability/notices_test.go
@@ -12,81 +12,81 @@
 )
 
 const (
-	upstream sandbarrow.InstanceID = "u@1"
-	restart  sandbarrow.InstanceID = "u@2"
+	upstream  sandbarrow.InstanceID = "u@1"
+	restarted sandbarrow.InstanceID = "u@2"
 )
 
-func TestDrainIsKeptForOneStart(t *testing.T) {
+func TestDrainNoticeAppliesToOneInstanceOnly(t *testing.T) {
 	now := time.Now()
 	var n Notices
 	drains := sandbarrow.Announcement{Draining: true}
 	assert.Equal(t, n.Apply(now, upstream, http.StatusOK, drains), Change{Draining: true})
 	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusOK, drains), Change{})
 	assert.Equal(t, n.Look(now.Add(time.Minute), upstream), Notice{Draining: true, DrainingFor: time.Minute})
-	assert.Equal(t, n.Look(now, restart), Notice{}, "it has started again")
+	assert.Equal(t, n.Look(now, restarted), Notice{}, "the restarted upstream has no notice")
 }
 
-func TestLongestBackoffCounts(t *testing.T) {
+func TestLongestBackoffWins(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	wants := func(d time.Duration) sandbarrow.Announcement { return sandbarrow.Announcement{Backoff: d} }
-	assert.Equal(t, n.Apply(now, upstream, http.StatusServiceUnavailable, wants(3*time.Second)), Change{Backoff: true})
-	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusServiceUnavailable, wants(time.Second)), Change{})
+	backoff := func(d time.Duration) sandbarrow.Announcement { return sandbarrow.Announcement{Backoff: d} }
+	assert.Equal(t, n.Apply(now, upstream, http.StatusServiceUnavailable, backoff(3*time.Second)), Change{Backoff: true})
+	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusServiceUnavailable, backoff(time.Second)), Change{})
 	assert.Equal(t, n.Look(now.Add(time.Second), upstream).Backoff, 2*time.Second)
-	assert.Equal(t, n.Apply(now.Add(2*time.Second), upstream, http.StatusServiceUnavailable, wants(3*time.Second)), Change{})
+	assert.Equal(t, n.Apply(now.Add(2*time.Second), upstream, http.StatusServiceUnavailable, backoff(3*time.Second)), Change{})
 	assert.Equal(t, n.Look(now.Add(2*time.Second), upstream).Backoff, 3*time.Second)
-	assert.Equal(t, n.Look(now.Add(5*time.Second), upstream), Notice{}, "it is over")
-	assert.Equal(t, n.Apply(now.Add(6*time.Second), upstream, http.StatusServiceUnavailable, wants(time.Second)), Change{Backoff: true})
+	assert.Equal(t, n.Look(now.Add(5*time.Second), upstream), Notice{}, "the backoff is over")
+	assert.Equal(t, n.Apply(now.Add(6*time.Second), upstream, http.StatusServiceUnavailable, backoff(time.Second)), Change{Backoff: true})
 }
 
-func TestAnswerOfAnotherInstanceAnnouncesNothing(t *testing.T) {
+func TestResponseOfAnotherInstanceIsIgnored(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	a := sandbarrow.Announcement{Backoff: time.Second, Draining: true}
-	assert.Equal(t, n.Apply(now, upstream, http.StatusMisdirectedRequest, a), Change{})
+	notice := sandbarrow.Announcement{Backoff: time.Second, Draining: true}
+	assert.Equal(t, n.Apply(now, upstream, http.StatusMisdirectedRequest, notice), Change{})
 	assert.Equal(t, n.Look(now, upstream), Notice{})
 }
 
-func TestNoticesAreForgotten(t *testing.T) {
+func TestNoticesExpireAndAreBounded(t *testing.T) {
 	now := time.Now()
 	var n Notices
 	n.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
-	n.Apply(now, restart, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
+	n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
 	n.Apply(now.Add(2*time.Second), "other", http.StatusOK, sandbarrow.Announcement{})
-	assert.Equal(t, len(n.byStart), 1, "a backoff that is over")
-	n.Look(now.Add(keepFor), upstream)
-	n.Apply(now.Add(keepFor+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
-	assert.Equal(t, len(n.byStart), 1, "it is still looked at")
-	n.Apply(now.Add(2*keepFor+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
-	assert.Equal(t, len(n.byStart), 0)
+	assert.Equal(t, len(n.byInstance), 1, "the backoff is over and dropped")
+	n.Look(now.Add(noticeRetention), upstream)
+	n.Apply(now.Add(noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
+	assert.Equal(t, len(n.byInstance), 1, "a notice in use is kept")
+	n.Apply(now.Add(2*noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
+	assert.Equal(t, len(n.byInstance), 0)
 	for i := range maxNotices + 10 {
 		n.Apply(now, sandbarrow.InstanceID(fmt.Sprint(i)), http.StatusOK, sandbarrow.Announcement{Draining: true})
 	}
-	assert.Equal(t, len(n.byStart), maxNotices)
+	assert.Equal(t, len(n.byInstance), maxNotices)
 	draining, backoff := n.Count(now)
 	assert.Assert(t, draining == maxNotices && backoff == 0)
 }
 
-func TestNextStartHasAnnouncedWhatCameAfterAnEnd(t *testing.T) {
+func TestNoticeAfterExitBelongsToNextInstance(t *testing.T) {
 	now := time.Now()
 	drains := sandbarrow.Announcement{Draining: true}
 	for _, first := range []sandbarrow.Announcement{{}, drains} {
 		var n Notices
 		n.Apply(now, upstream, http.StatusOK, first)
 		n.Ended(now, upstream)
-		assert.Equal(t, n.Look(now, restart), Notice{}, "it has announced nothing")
-		n.Ended(now, restart)
-		n.Apply(now, restart, http.StatusOK, drains)
-		n.Apply(now, restart, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
+		assert.Equal(t, n.Look(now, restarted), Notice{}, "the next instance has no notice")
+		n.Ended(now, restarted)
+		n.Apply(now, restarted, http.StatusOK, drains)
+		n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
 		want := Notice{Backoff: time.Second, Draining: true}
-		assert.Equal(t, n.Look(now, restart), want, "the list does not show its next start yet")
+		assert.Equal(t, n.Look(now, restarted), want, "the list still shows the previous instance")
 		assert.Equal(t, n.Look(now, "v@3"), Notice{}, "another upstream")
 		assert.Equal(t, n.Look(now, "u@3"), want)
-		assert.Assert(t, len(n.byStart) == 1 && len(n.ended) == 0)
+		assert.Assert(t, len(n.byInstance) == 1 && len(n.exited) == 0)
 	}
 }
 
-func TestEndOfAnUpstreamThatDoesNotSayWhenItStarted(t *testing.T) {
+func TestExitClearsNoticeOfUpstreamWithoutStartTime(t *testing.T) {
 	now := time.Now()
 	var n Notices
 	n.Apply(now, "u", http.StatusOK, sandbarrow.Announcement{Draining: true})
@@ -94,13 +94,13 @@
 	assert.Equal(t, n.Look(now, "u"), Notice{})
 }
 
-func TestEndsAreForgotten(t *testing.T) {
+func TestExitsExpireAndAreBounded(t *testing.T) {
 	now := time.Now()
 	var n Notices
 	for i := range maxNotices + 10 {
 		n.Ended(now, sandbarrow.NewInstanceID(sandbarrow.ListedID(fmt.Sprint(i)), 1))
 	}
-	assert.Assert(t, len(n.byStart) == maxNotices && len(n.ended) == maxNotices)
-	n.Apply(now.Add(keepFor+time.Second), upstream, http.StatusOK, sandbarrow.Announcement{})
-	assert.Assert(t, len(n.byStart) == 0 && len(n.ended) == 0)
+	assert.Assert(t, len(n.byInstance) == maxNotices && len(n.exited) == maxNotices)
+	n.Apply(now.Add(noticeRetention+time.Second), upstream, http.StatusOK, sandbarrow.Announcement{})
+	assert.Assert(t, len(n.byInstance) == 0 && len(n.exited) == 0)
 }
--- a/availability/outcomes.go
+++ b/availability/outcomes.go
@@ -9,91 +9,92 @@
 
 // The weights of failures in the choice of an upstream.
 const (
-	// failureHalfLife is the time in which the memory of failures halves: an upstream that
-	// failed is tried again within seconds.
+	// failureHalfLife is the half-life of the share of failures. It is short, so that a failed
+	// upstream is tried again within seconds.
 	failureHalfLife = 3 * time.Second
-	// failureWeight is how far each answer moves the share of failures.
+	// failureWeight is the weight of one response in the moving average of failures.
 	failureWeight = 0.25
-	// failurePenalty is the price of an upstream that always fails: more than a load and a
-	// late answer together, so that any other one goes before it.
+	// failurePenalty is the penalty of an upstream that always fails. It exceeds the time of a load
+	// and a late response together, so that any other upstream is preferred.
 	failurePenalty = 2 * time.Second
-	// keepOutcomes is how long an upstream is remembered to which nothing is sent: failures
-	// count for nothing by then.
-	keepOutcomes = time.Minute
+	// outcomeRetention is how long the outcomes of an upstream without requests are kept. By then
+	// its failures have decayed to almost nothing.
+	outcomeRetention = time.Minute
 )
 
-// outcome is what the outcomes at one upstream show.
-type outcome struct {
-	// at is when a request last began or ended there.
-	at       time.Time
-	failures float64
-	inFlight int
+// outcomeStats summarizes the outcomes of requests to one upstream.
+type outcomeStats struct {
+	// updatedAt is when a request to the upstream last began or ended.
+	updatedAt time.Time
+	failures  float64
+	inFlight  int
 }
 
-// share is the decayed share of failures from 0 to 1.
-func (r *outcome) share(now time.Time) float64 {
-	return r.failures * decay.Factor(now.Sub(r.at), failureHalfLife)
+// failureShare is the decayed share of failures, from 0 to 1.
+func (s *outcomeStats) failureShare(now time.Time) float64 {
+	return s.failures * decay.Factor(now.Sub(s.updatedAt), failureHalfLife)
 }
 
-// Outcomes keeps what the outcomes of this process's own requests show of each upstream: the users'
-// health checks can be wrong either way. The zero Outcomes is empty.
+// Outcomes stores, for each upstream, the outcomes of this process's own requests. They complement
+// the users' health checks, which can be wrong either way. The zero Outcomes is empty.
 type Outcomes struct {
-	forgotAt  time.Time
-	upstreams map[sandbarrow.InstanceID]*outcome
+	expiredAt time.Time
+	upstreams map[sandbarrow.InstanceID]*outcomeStats
 }
 
 // Begin counts a request that is sent.
 func (o *Outcomes) Begin(now time.Time, id sandbarrow.InstanceID) {
-	o.forget(now)
-	r := o.upstreams[id]
-	if r == nil {
+	o.expire(now)
+	s := o.upstreams[id]
+	if s == nil {
 		if o.upstreams == nil {
-			o.upstreams = map[sandbarrow.InstanceID]*outcome{}
+			o.upstreams = map[sandbarrow.InstanceID]*outcomeStats{}
 		}
-		r = &outcome{at: now}
-		o.upstreams[id] = r
+		s = &outcomeStats{updatedAt: now}
+		o.upstreams[id] = s
 	}
-	r.inFlight++
+	s.inFlight++
 }
 
 // End counts the outcome of a request that Begin has counted.
 func (o *Outcomes) End(now time.Time, id sandbarrow.InstanceID, failed bool) {
-	r := o.upstreams[id]
-	if r == nil {
+	s := o.upstreams[id]
+	if s == nil {
 		return
 	}
-	r.inFlight--
-	share := r.share(now) * (1 - failureWeight)
+	s.inFlight--
+	failureShare := s.failureShare(now) * (1 - failureWeight)
 	if failed {
-		share += failureWeight
+		failureShare += failureWeight
 	}
-	r.failures, r.at = share, now
+	s.failures, s.updatedAt = failureShare, now
 }
 
-// Withdraw ends a request that Begin has counted, and that says nothing of its upstream.
-func (o *Outcomes) Withdraw(id sandbarrow.InstanceID) {
-	if r := o.upstreams[id]; r != nil {
-		r.inFlight--
+// Discard ends a request that Begin has counted without an outcome, because it shows nothing about
+// its upstream.
+func (o *Outcomes) Discard(id sandbarrow.InstanceID) {
+	if s := o.upstreams[id]; s != nil {
+		s.inFlight--
 	}
 }
 
-// Look returns the requests in flight at an upstream and the price of its failures.
+// Check returns the number of requests in flight at an upstream and the penalty for its failures.
 func (o *Outcomes) Look(now time.Time, id sandbarrow.InstanceID) (inFlight int, penalty time.Duration) {
-	r := o.upstreams[id]
-	if r == nil {
+	s := o.upstreams[id]
+	if s == nil {
 		return 0, 0
 	}
-	return r.inFlight, time.Duration(r.share(now) * float64(failurePenalty))
+	return s.inFlight, time.Duration(s.failureShare(now) * float64(failurePenalty))
 }
 
-// forget drops upstreams to which nothing was sent for keepOutcomes, as those that are gone.
-func (o *Outcomes) forget(now time.Time) {
-	if now.Sub(o.forgotAt) < keepOutcomes {
+// expire drops upstreams, such as removed ones, to which nothing was sent for outcomeRetention.
+func (o *Outcomes) expire(now time.Time) {
+	if now.Sub(o.expiredAt) < outcomeRetention {
 		return
 	}
-	o.forgotAt = now
-	for id, r := range o.upstreams {
-		if r.inFlight == 0 && now.Sub(r.at) >= keepOutcomes {
+	o.expiredAt = now
+	for id, s := range o.upstreams {
+		if s.inFlight == 0 && now.Sub(s.updatedAt) >= outcomeRetention {
 			delete(o.upstreams, id)
 		}
 	}
--- a/availability/outcomes_test.go
+++ b/availability/outcomes_test.go
@@ -10,33 +10,33 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-func TestFailuresCostAndFade(t *testing.T) {
+func TestFailurePenaltyDecays(t *testing.T) {
 	now := time.Now()
 	var table Outcomes
-	price := func() time.Duration {
+	penaltyNow := func() time.Duration {
 		_, penalty := table.Look(now, "a")
 		return penalty
 	}
-	assert.Equal(t, price(), time.Duration(0))
+	assert.Equal(t, penaltyNow(), time.Duration(0))
 	for range 20 {
 		table.Begin(now, "a")
 		table.End(now, "a", true)
 	}
-	failed := price()
+	failed := penaltyNow()
 	assert.Assert(t, failed > failurePenalty*9/10 && failed <= failurePenalty, "%v", failed)
 	now = now.Add(failureHalfLife)
-	assert.Assert(t, price() > failed*4/10 && price() < failed*6/10, "%v", price())
+	assert.Assert(t, penaltyNow() > failed*4/10 && penaltyNow() < failed*6/10, "%v", penaltyNow())
 	table.Begin(now, "a")
 	inFlight, _ := table.Look(now, "a")
 	assert.Equal(t, inFlight, 1)
-	before := price()
+	before := penaltyNow()
 	table.End(now, "a", false)
-	assert.Assert(t, price() < before)
+	assert.Assert(t, penaltyNow() < before)
 	inFlight, _ = table.Look(now, "a")
 	assert.Equal(t, inFlight, 0)
 }
 
-func TestGoneUpstreamsAreForgotten(t *testing.T) {
+func TestOutcomesOfRemovedUpstreamsExpire(t *testing.T) {
 	now := time.Now()
 	var table Outcomes
 	for i := range 100 {
@@ -46,7 +46,7 @@
 			table.End(now, id, true)
 		}
 	}
-	now = now.Add(keepOutcomes)
+	now = now.Add(outcomeRetention)
 	table.Begin(now, "new")
 	assert.Equal(t, len(table.upstreams), 2)
 	table.End(now, "0", true)
--- a/availability/table.go
+++ b/availability/table.go
@@ -7,87 +7,88 @@
 	"sandbarrow.example/sandbarrow/throttle"
 )
 
-// Reason says why an upstream accepts no request now.
+// Reason says why an upstream accepts no requests now.
 type Reason string
 
-// The reasons.
 const (
-	// Backoff is an upstream that has refused a request and wants none for a time.
+	// Backoff means that the upstream has refused a request and is in backoff.
 	Backoff Reason = "backoff"
-	// Draining is an upstream that ends soon, as the list, its controller or itself says.
+	// Draining means that the upstream will exit soon, according to the list, its controller or its own
+	// notice.
 	Draining Reason = "draining"
-	// Limited is an upstream that has had what it accepts by its limit.
+	// Limited means that the upstream has received as many requests as its limit allows.
 	Limited Reason = "limit"
-	// Replaced is an engine that has started again, which the list does not show yet: it would
-	// refuse what names the instance of the list, at the price of a retry.
+	// Replaced means that the engine has restarted and the list does not show it yet. The engine
+	// would refuse a request that names the listed instance, which would cost a retry.
 	Replaced Reason = "replaced"
-	// Unlisted is an upstream that left the list.
+	// Unlisted means that the upstream was removed from the list.
 	Unlisted Reason = "unlisted"
-	// Unreachable is an engine that does not answer its controller.
+	// Unreachable means that the engine does not respond to its controller.
 	Unreachable Reason = "unreachable"
 )
 
-// Report is what the controller beside an engine has reported last. The zero Report is that of an
-// upstream without a controller, or whose controller is not linked.
+// Report is the last report of the controller beside an engine. The zero Report is for an upstream
+// without a controller, or whose controller is not linked.
 type Report struct {
 	Draining bool
-	// Instance is the engine's start; empty where it is not known.
+	// Instance is the engine's instance; empty if it is not known.
 	Instance    sandbarrow.InstanceID
 	Unreachable bool
 }
 
-// Look is one look at an upstream on behalf of a request.
+// Check is the result of checking an upstream for a request.
 type Look struct {
-	// Blocked is why the upstream accepts no request now; empty where it does.
+	// Blocked is why the upstream accepts no requests now; empty if it accepts them.
 	Blocked Reason
-	// Wait is how long it is until the upstream may accept one; 0 where that is not known.
+	// Wait is the time until the upstream may accept a request; 0 if that is not known.
 	Wait time.Duration
-	// InFlight counts this process's requests there.
+	// InFlight is the number of this process's requests in flight at the upstream.
 	InFlight int
 	// Limited says that the upstream names a limit.
 	Limited bool
-	// Price is the delay that is worth as much as its failures and its limit.
+	// Penalty is the delay that the upstream's failures and limit count as when upstreams are
+	// compared. It is negative for an upstream whose limit is to be checked again.
 	Price time.Duration
 }
 
-// Table keeps what a process knows of upstreams. The zero Table knows nothing.
+// Table is one process's view of all upstreams. The zero Table is empty.
 type Table struct {
 	Gates    throttle.Gates
 	Notices  Notices
 	Outcomes Outcomes
 }
 
-// Look decides whether a request may be sent to an upstream now, and else when.
+// Check decides whether a request may be sent to an upstream now, and otherwise when.
 //
-// Inputs: the upstream's entry in the list, the last report of its controller, and what this
-// table keeps.
+// Inputs: the upstream's entry in the list, the last report of its controller, and the state of
+// this table.
 func (t *Table) Look(now time.Time, in *sandbarrow.Instance, r Report) Look {
-	wait, price := t.Gates.Look(now, in.ID)
+	wait, limitPenalty := t.Gates.Look(now, in.ID)
 	backoff := t.Notices.Look(now, in.ID).Backoff
-	l := Look{Limited: price != 0, Price: price}
+	result := Look{Limited: limitPenalty != 0, Price: limitPenalty}
 	switch {
 	case r.Draining || t.Notices.drains(now, in):
-		l.Blocked = Draining
+		result.Blocked = Draining
 	case r.Unreachable:
-		l.Blocked = Unreachable
+		result.Blocked = Unreachable
 	case r.Instance != "" && r.Instance != in.ID:
-		l.Blocked = Replaced
+		result.Blocked = Replaced
 	case backoff > 0:
-		l.Blocked, l.Wait = Backoff, backoff
+		result.Blocked, result.Wait = Backoff, backoff
 	case wait > 0:
-		l.Blocked, l.Wait = Limited, wait
+		result.Blocked, result.Wait = Limited, wait
 	}
 	inFlight, penalty := t.Outcomes.Look(now, in.ID)
-	l.InFlight = inFlight
-	l.Price += penalty
-	return l
+	result.InFlight = inFlight
+	result.Price += penalty
+	return result
 }
 
-// Accepts decides whether a request that chose an upstream a while ago may still be sent there;
-// else it says why not.
+// Accepts decides whether a request that chose an upstream a while ago may still be sent there. If
+// not, it returns the reason.
 //
-// Inputs: the upstream's entry in the list as it is now, nil where it has left the list, and what
-// it has announced. Its limit is for whoever grants the send.
+// Inputs: the upstream's current entry in the list, nil if it was removed, and its notices. Its
+// limit is not checked here, but by the coordinator that grants the send.
 func (t *Table) Accepts(now time.Time, listed *sandbarrow.Instance) (Reason, bool) {
 	switch {
 	case listed == nil:
@@ -100,11 +101,11 @@
 	return "", true
 }
 
-// End counts the outcome of a request that Outcomes.Begin has counted. A refusal that says when
-// to come back is no failure: the upstream would be avoided for longer than it wants.
+// End counts the outcome of a request that Outcomes.Begin has counted. A refusal with a backoff is
+// not counted as a failure: the penalty would outlast the backoff.
 func (t *Table) End(now time.Time, id sandbarrow.InstanceID, failed bool) {
 	if failed && t.Notices.Look(now, id).Backoff > 0 {
-		t.Outcomes.Withdraw(id)
+		t.Outcomes.Discard(id)
 		return
 	}
 	t.Outcomes.End(now, id, failed)
--- a/availability/table_test.go
+++ b/availability/table_test.go
@@ -11,40 +11,40 @@
 	"sandbarrow.example/sandbarrow/throttle"
 )
 
-func TestLook(t *testing.T) {
+func TestTableCheck(t *testing.T) {
 	now := time.Now()
 	ready := &sandbarrow.Instance{ID: upstream}
 	draining := &sandbarrow.Instance{Draining: true, ID: upstream}
 	for name, c := range map[string]struct {
 		in     *sandbarrow.Instance
 		report Report
-		know   func(*Table)
+		setup  func(*Table)
 		want   Look
 	}{
-		"nothing known":    {ready, Report{}, nil, Look{}},
-		"linked":           {ready, Report{Instance: upstream}, nil, Look{}},
-		"listed as such":   {draining, Report{}, nil, Look{Blocked: Draining}},
-		"reported as such": {ready, Report{Draining: true}, nil, Look{Blocked: Draining}},
-		"it says so itself": {ready, Report{}, func(x *Table) {
+		"nothing known":        {ready, Report{}, nil, Look{}},
+		"linked":               {ready, Report{Instance: upstream}, nil, Look{}},
+		"listed as draining":   {draining, Report{}, nil, Look{Blocked: Draining}},
+		"reported as draining": {ready, Report{Draining: true}, nil, Look{Blocked: Draining}},
+		"drain notice": {ready, Report{}, func(x *Table) {
 			x.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
 		}, Look{Blocked: Draining}},
-		"its last start said so": {ready, Report{}, func(x *Table) {
-			x.Notices.Apply(now, restart, http.StatusOK, sandbarrow.Announcement{Draining: true})
+		"drain notice of another instance": {ready, Report{}, func(x *Table) {
+			x.Notices.Apply(now, restarted, http.StatusOK, sandbarrow.Announcement{Draining: true})
 		}, Look{}},
-		"it wants none for a time": {ready, Report{}, func(x *Table) {
+		"backoff": {ready, Report{}, func(x *Table) {
 			x.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
 		}, Look{Blocked: Backoff, Wait: time.Second}},
 		"unreachable": {ready, Report{Unreachable: true}, nil, Look{Blocked: Unreachable}},
-		"replaced":    {ready, Report{Instance: restart}, nil, Look{Blocked: Replaced}},
+		"replaced":    {ready, Report{Instance: restarted}, nil, Look{Blocked: Replaced}},
 		"in flight":   {ready, Report{}, func(x *Table) { x.Outcomes.Begin(now, upstream) }, Look{InFlight: 1}},
-		"its turn comes later": {ready, Report{}, func(x *Table) {
+		"limit used up": {ready, Report{}, func(x *Table) {
 			x.Gates.Apply(now, upstream, throttle.Limit{At: now, Rate: 0.5})
 			x.Gates.Begin(now, upstream)
 		}, Look{Blocked: Limited, Limited: true, Price: 100 * time.Millisecond, Wait: 2 * time.Second}},
 	} {
 		var table Table
-		if c.know != nil {
-			c.know(&table)
+		if c.setup != nil {
+			c.setup(&table)
 		}
 		assert.Equal(t, table.Look(now, c.in, c.report), c.want, name)
 	}
@@ -56,41 +56,41 @@
 	for want, listed := range map[Reason]*sandbarrow.Instance{
 		"": {ID: upstream}, Draining: {Draining: true, ID: upstream}, Unlisted: nil,
 	} {
-		why, accepts := table.Accepts(now, listed)
-		assert.Equal(t, why, want)
+		reason, accepts := table.Accepts(now, listed)
+		assert.Equal(t, reason, want)
 		assert.Equal(t, accepts, want == "")
 	}
 	table.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
-	why, _ := table.Accepts(now, &sandbarrow.Instance{ID: upstream})
-	assert.Equal(t, why, Draining)
+	reason, _ := table.Accepts(now, &sandbarrow.Instance{ID: upstream})
+	assert.Equal(t, reason, Draining)
 }
 
-func TestUpstreamThatIsListedReadyAgainDrainsNoMore(t *testing.T) {
+func TestUpstreamListedReadyAgainIsNoLongerDraining(t *testing.T) {
 	now := time.Now()
 	for _, id := range []sandbarrow.InstanceID{"u", upstream} {
 		var table Table
 		table.Notices.Apply(now, id, http.StatusOK, sandbarrow.Announcement{Draining: true})
 		ready, draining := &sandbarrow.Instance{ID: id}, &sandbarrow.Instance{Draining: true, ID: id}
-		assert.Equal(t, table.Look(now, ready, Report{}).Blocked, Draining, "the list lags")
+		assert.Equal(t, table.Look(now, ready, Report{}).Blocked, Draining, "the list does not show the drain yet")
 		assert.Equal(t, table.Look(now, draining, Report{}).Blocked, Draining)
-		assert.Equal(t, table.Look(now, ready, Report{}).Blocked, Reason(""), "it has started again")
+		assert.Equal(t, table.Look(now, ready, Report{}).Blocked, Reason(""), "the listed instance is a new one")
 	}
 }
 
-func TestRefusalWithATimeIsNoFailure(t *testing.T) {
+func TestRefusalWithBackoffIsNotAFailure(t *testing.T) {
 	now := time.Now()
 	ready := &sandbarrow.Instance{ID: upstream}
 	var table Table
 	table.Outcomes.Begin(now, upstream)
 	table.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
 	table.End(now, upstream, true)
-	why, accepts := table.Accepts(now, ready)
-	assert.Assert(t, why == Backoff && !accepts)
+	reason, accepts := table.Accepts(now, ready)
+	assert.Assert(t, reason == Backoff && !accepts)
 	now = now.Add(time.Second)
 	_, accepts = table.Accepts(now, ready)
 	assert.Assert(t, accepts)
-	assert.Equal(t, table.Look(now, ready, Report{}), Look{}, "nothing is left of it")
+	assert.Equal(t, table.Look(now, ready, Report{}), Look{}, "the refusal leaves no penalty")
 	table.Outcomes.Begin(now, upstream)
 	table.End(now, upstream, true)
-	assert.Assert(t, table.Look(now, ready, Report{}).Price > 0, "a failure without a time")
+	assert.Assert(t, table.Look(now, ready, Report{}).Price > 0, "a failure without a backoff")
 }
--- a/limit/classes.go
+++ b/limit/classes.go
@@ -1,4 +1,4 @@
-// Package limit holds the limits of caller classes.
+// Package limit applies the rate limits of caller classes.
 package limit
 
 import (
@@ -27,7 +27,7 @@
 	return &Classes{limits: map[sandbarrow.CallerClass]*rate.Limiter{}}
 }
 
-// Admit takes one request of a class.
+// Admit admits one request of a class, or returns the time until one can be admitted.
 func (c *Classes) Admit(now time.Time, class sandbarrow.CallerClass) (bool, time.Duration) {
 	c.mu.Lock()
 	l := c.limits[class]
@@ -44,7 +44,7 @@
 	return true, 0
 }
 
-// Set replaces all limits; a class that stays keeps what it has used.
+// Set replaces all limits. A class that remains keeps its current usage.
 func (c *Classes) Set(now time.Time, rates map[sandbarrow.CallerClass]Rate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/limit/classes_test.go
+++ b/limit/classes_test.go
@@ -26,7 +26,7 @@
 	}
 	c.Set(now, map[sandbarrow.CallerClass]Rate{"desk": {PerSecond: 2, Burst: 2}})
 	ok, _ = c.Admit(now, "desk")
-	assert.Assert(t, !ok, "a new configuration gives nothing back")
+	assert.Assert(t, !ok, "a new configuration does not reset the usage")
 	ok, _ = c.Admit(now.Add(wait), "desk")
 	assert.Assert(t, ok)
 }
--- a/loadtime/estimator.go
+++ b/loadtime/estimator.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Estimator keeps a Model from the loads of all engines. It is safe for concurrent use.
+// Estimator maintains a Model from the loads of all engines. It is safe for concurrent use.
 type Estimator struct {
 	mu    sync.Mutex
 	model Model
-	// underWay is how many loads were under way at the last choice of an engine.
-	underWay int
+	// inProgress is the number of loads in progress when an engine was last chosen.
+	inProgress int
 }
 
-// NewEstimator returns an Estimator that has seen no load.
+// NewEstimator returns an Estimator without observations.
 func NewEstimator() *Estimator {
 	return &Estimator{model: NewModel()}
 }
 
-// Choice returns the model for a choice that sees so many loads under way.
-func (e *Estimator) Choice(underWay int) Model {
+// ModelFor returns the model for the choice of an engine while inProgress loads are in progress.
+func (e *Estimator) Choice(inProgress int) Model {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.underWay = underWay
+	e.inProgress = inProgress
 	return e.model
 }
 
-// Learn follows a load that took so long. Of several loads between two reports of an engine
-// the last one counts.
+// ObserveLoad updates the model with the time of one load. If an engine finishes several loads between
+// two reports, only the last one is observed.
 func (e *Estimator) Learn(took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.model.Observe(took, e.underWay)
+	e.model.Observe(took, e.inProgress)
 }
--- a/loadtime/loadtime.go
+++ b/loadtime/loadtime.go
@@ -1,69 +1,71 @@
-// Package loadtime estimates how long a load from the weight store takes, by how many are
-// under way. No constant holds: the deployments seen carry 8 to 72 loads at once before
-// each takes longer. It owns the estimates and has no clock or connection; gateways use it.
+// Package loadtime estimates how long a load from the weight store takes, depending on the number
+// of loads in progress. No constant fits: the deployments seen sustain 8 to 72 parallel loads
+// before each one takes longer. The package owns the estimates and has no clock or connection;
+// gateways use it.
 package loadtime
 
 import "time"
 
 const (
-	// firstLoadDelay is the time of a load alone that is assumed until one was seen, with
-	// its order: 0.26 s on the deployments seen.
-	firstLoadDelay = 270 * time.Millisecond
-	// firstCarried is how many loads the weight store is taken to carry at once until
-	// more were seen: the least of the deployments seen.
-	firstCarried = 8
-	// contendedLoad is how many times the time alone a load takes at least to show
-	// contention; the controller's look at its engine adds up to 15 ms to 250.
-	contendedLoad = 1.25
-	// carriedGain is how far one contended load moves the estimate of what the store carries: some
-	// ten loads show it, and a crowd brings them within a second.
-	carriedGain = 0.1
-	// aloneGain is how far a load moves the time alone up, while few are under way.
-	aloneGain = 0.1
+	// initialBaseTime is the assumed time of one uncontended load, including the order to the
+	// engine, until one was observed. It is 0.26 s in the deployments seen.
+	initialBaseTime = 270 * time.Millisecond
+	// initialCapacity is the assumed number of loads that the weight store sustains at once, until
+	// more were observed. It is the lowest of the deployments seen.
+	initialCapacity = 8
+	// contentionFactor is the multiple of the base time from which a load counts as contended. The
+	// controller's status check of its engine adds up to 15 ms to a load of 250 ms.
+	contentionFactor = 1.25
+	// capacityGain is the weight of one contended load in the estimate of the capacity. About ten
+	// loads are enough to learn it, and under heavy load they occur within a second.
+	capacityGain = 0.1
+	// baseTimeGain is the weight of one load in raising the base time, while few loads are in
+	// progress.
+	baseTimeGain = 0.1
 )
 
-// Model is how long loads from the weight store take: all of them alike alone, and
-// each proportionally longer beyond a number at once. It holds estimates, learnt from the
-// loads that controllers report.
+// Model estimates how long loads from the weight store take. Uncontended loads all take the same
+// time. Beyond the store's capacity, each takes proportionally longer. The estimates are learned
+// from the loads that controllers report.
 type Model struct {
-	// Alone is the time of one load with its order.
+	// BaseTime is the time of one uncontended load, including the order to the engine.
 	Alone time.Duration
-	// Carried is how many loads the store carries at once before each takes longer.
+	// Capacity is how many loads the store sustains at once before each takes longer.
 	Carried float64
 }
 
-// NewModel returns what is assumed before any load was seen.
+// NewModel returns the assumed model before any load was observed.
 func NewModel() Model {
-	return Model{Alone: firstLoadDelay, Carried: firstCarried}
+	return Model{Alone: initialBaseTime, Carried: initialCapacity}
 }
 
-// Slowdown is how many times its time alone one more load takes beside those under way.
-func (m *Model) Slowdown(underWay int) float64 {
-	return max(1, float64(underWay+1)/m.Carried)
+// Slowdown is the time of one more load beside those in progress, as a multiple of the base time.
+func (m *Model) Slowdown(inProgress int) float64 {
+	return max(1, float64(inProgress+1)/m.Carried)
 }
 
-// Delay is the time of one more load beside those under way.
-func (m *Model) Delay(underWay int) time.Duration {
-	return time.Duration(float64(m.Alone) * m.Slowdown(underWay))
+// Delay is the time of one more load beside those in progress.
+func (m *Model) Delay(inProgress int) time.Duration {
+	return time.Duration(float64(m.Alone) * m.Slowdown(inProgress))
 }
 
-// Observe learns from one load: how long it took, and how many were under way, itself
-// among them, as they were seen last (half a second old at most).
-func (m *Model) Observe(took time.Duration, underWay int) {
+// Observe learns from one load. inProgress is the last known number of loads in progress, including
+// this one, and at most half a second old.
+func (m *Model) Observe(took time.Duration, inProgress int) {
 	if took <= 0 {
 		return
 	}
-	loads := float64(max(1, underWay))
+	loads := float64(max(1, inProgress))
 	switch {
 	case took < m.Alone:
 		m.Alone = took
 	case loads <= max(1, m.Carried/2):
-		m.Alone += time.Duration(aloneGain * float64(took-m.Alone))
+		m.Alone += time.Duration(baseTimeGain * float64(took-m.Alone))
 	}
 	slowdown := float64(took) / float64(m.Alone)
-	if slowdown < contendedLoad {
+	if slowdown < contentionFactor {
 		m.Carried = max(m.Carried, loads)
 		return
 	}
-	m.Carried = max(1, m.Carried+carriedGain*(loads/slowdown-m.Carried))
+	m.Carried = max(1, m.Carried+capacityGain*(loads/slowdown-m.Carried))
 }
--- a/loadtime/loadtime_test.go
+++ b/loadtime/loadtime_test.go
@@ -9,33 +9,33 @@
 	"pgregory.net/rapid"
 )
 
-// storeOf returns how long a load takes at a weight store that carries so many at once.
-func storeOf(alone time.Duration, carries int) func(underWay int) time.Duration {
-	return func(underWay int) time.Duration {
-		return max(alone, alone*time.Duration(underWay)/time.Duration(carries))
+// storeWithCapacity returns the load time of a weight store that sustains so many loads at once.
+func storeWithCapacity(baseTime time.Duration, capacity int) func(inProgress int) time.Duration {
+	return func(inProgress int) time.Duration {
+		return max(baseTime, baseTime*time.Duration(inProgress)/time.Duration(capacity))
 	}
 }
 
-func TestModelLearnsWhatTheStoreCarries(t *testing.T) {
+func TestModelLearnsStoreCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		alone := time.Duration(rapid.IntRange(120, 600).Draw(t, "alone")) * time.Millisecond
-		carries := rapid.IntRange(4, 200).Draw(t, "carries")
-		took := storeOf(alone, carries)
+		baseTime := time.Duration(rapid.IntRange(120, 600).Draw(t, "base time")) * time.Millisecond
+		capacity := rapid.IntRange(4, 200).Draw(t, "capacity")
+		took := storeWithCapacity(baseTime, capacity)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		m := NewModel()
 		for range 800 {
-			underWay := 1 + random.IntN(3*carries)
-			m.Observe(took(underWay), underWay)
+			inProgress := 1 + random.IntN(3*capacity)
+			m.Observe(took(inProgress), inProgress)
 		}
-		assert.Check(t, m.Carried > 0.7*float64(carries) && m.Carried < 1.4*float64(carries), "carries %d, learnt %.1f", carries, m.Carried)
-		assert.Check(t, float64(m.Alone) < 1.1*float64(alone) && float64(m.Alone) > 0.9*float64(alone), "alone %v, learnt %v", alone, m.Alone)
-		few := max(1, carries/2)
-		assert.Check(t, m.Delay(few) < alone*13/10, "%v beside %d", m.Delay(few), few)
+		assert.Check(t, m.Carried > 0.7*float64(capacity) && m.Carried < 1.4*float64(capacity), "capacity %d, learned %.1f", capacity, m.Carried)
+		assert.Check(t, float64(m.Alone) < 1.1*float64(baseTime) && float64(m.Alone) > 0.9*float64(baseTime), "base time %v, learned %v", baseTime, m.Alone)
+		few := max(1, capacity/2)
+		assert.Check(t, m.Delay(few) < baseTime*13/10, "%v with %d loads in progress", m.Delay(few), few)
 	})
 }
 
-// A load that shows nothing changes nothing.
-func TestModelIgnoresNoTime(t *testing.T) {
+// An observation without a load time must not change the model.
+func TestModelIgnoresZeroLoadTime(t *testing.T) {
 	m := NewModel()
 	m.Observe(0, 5)
 	assert.Equal(t, m, NewModel())
--- a/readspeed/readspeed_test.go
+++ b/readspeed/readspeed_test.go
@@ -9,30 +9,30 @@
 	"pgregory.net/rapid"
 )
 
-// within reports whether a is b, give or take a share.
-func within(a, b time.Duration, share float64) bool {
-	return float64(a) >= float64(b)*(1-share) && float64(a) <= float64(b)*(1+share)
+// within reports whether a equals b up to a relative tolerance.
+func within(a, b time.Duration, tolerance float64) bool {
+	return float64(a) >= float64(b)*(1-tolerance) && float64(a) <= float64(b)*(1+tolerance)
 }
 
-func TestKnowsNothing(t *testing.T) {
+func TestZeroEstimatorReturnsPrior(t *testing.T) {
 	var e Estimator
 	assert.Equal(t, e.Speed(), Prior)
 	e.Observe(0, time.Second)
 	e.Observe(1000, 0)
-	assert.Equal(t, e.Speed(), Prior, "neither shows anything")
+	assert.Equal(t, e.Speed(), Prior, "observations without tokens or time are ignored")
 }
 
 func TestAdopt(t *testing.T) {
-	told := Speed{Base: 10 * time.Millisecond, PerToken: 20 * time.Microsecond}
+	adopted := Speed{Base: 10 * time.Millisecond, PerToken: 20 * time.Microsecond}
 	var e Estimator
-	e.Adopt(told)
-	assert.Equal(t, e.Speed(), told)
+	e.Adopt(adopted)
+	assert.Equal(t, e.Speed(), adopted)
 	e.Adopt(Speed{})
-	assert.Equal(t, e.Speed(), told, "an empty estimate tells nothing")
+	assert.Equal(t, e.Speed(), adopted, "an empty estimate is ignored")
 	e.Observe(1000, time.Second)
 	own := e.Speed()
-	e.Adopt(told)
-	assert.Equal(t, e.Speed(), own, "what was observed here goes before")
+	e.Adopt(adopted)
+	assert.Equal(t, e.Speed(), own, "own observations take precedence")
 }
 
 func TestEstimateConvergesForAnyEngine(t *testing.T) {
@@ -61,8 +61,8 @@
 	})
 }
 
-// One answer, however wrong, moves the estimate by less than a fifth.
-func TestOneAnswerMovesLittle(t *testing.T) {
+// One outlier must move the estimate by less than a fifth.
+func TestOneResponseMovesEstimateLittle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Estimator
 		e.Adopt(Speed{Base: 20 * time.Millisecond, PerToken: 26 * time.Microsecond})
@@ -75,20 +75,20 @@
 	})
 }
 
-func TestFollowsASlowEngine(t *testing.T) {
+func TestEstimateFollowsSlowEngine(t *testing.T) {
 	var e Estimator
 	normal := Speed{Base: 15 * time.Millisecond, PerToken: 26 * time.Microsecond}
 	slow := Speed{Base: 75 * time.Millisecond, PerToken: 130 * time.Microsecond}
-	answer := func(s Speed, times int) {
+	respond := func(s Speed, times int) {
 		for i := range times {
 			tokens := []int{800, 9000, 3000}[i%3]
 			e.Observe(tokens, s.Read(tokens))
 		}
 	}
-	answer(normal, 60)
+	respond(normal, 60)
 	assert.Check(t, within(e.Speed().Read(9000), normal.Read(9000), 0.1), "%v", e.Speed())
-	answer(slow, 24)
+	respond(slow, 24)
 	assert.Check(t, within(e.Speed().Read(9000), slow.Read(9000), 0.3), "%v", e.Speed())
-	answer(normal, 24)
+	respond(normal, 24)
 	assert.Check(t, within(e.Speed().Read(9000), normal.Read(9000), 0.3), "%v", e.Speed())
 }
--- a/readspeed/toward_test.go
+++ b/readspeed/shrink_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestToward(t *testing.T) {
+func TestShrinkToward(t *testing.T) {
 	typical := Speed{Base: 100 * time.Millisecond, PerToken: 40 * time.Microsecond}
 	for _, tc := range []struct{ own, want Speed }{
 		{typical, typical},
--- a/recall/memory.go
+++ b/recall/memory.go
@@ -1,7 +1,7 @@
-// Package recall estimates what an engine's own memory still holds: adapters that
-// were unloaded recently load from there, without the weight store. It owns no more
-// than the order in which adapters were seen, and how many of them are kept; gateways
-// and controllers use it.
+// Package recall estimates which adapters are still in an engine's own memory. Adapters that were
+// unloaded recently are loaded from there, without the weight store. It owns only the order in
+// which adapters were last seen, and the estimated size of the memory. Gateways and controllers use
+// it.
 package recall
 
 import (
@@ -12,80 +12,80 @@
 )
 
 const (
-	// remembered is how many adapters an engine's own memory is expected to keep beside
-	// its slots, until loads show it. The deployments seen keep 36 and 54.
-	remembered = 30
-	// leastRemembered and mostRemembered bound what loads show; one more adapter costs some
+	// defaultSize is how many adapters an engine's own memory is expected to keep beside its slots,
+	// until loads show the real size. The deployments seen keep 36 and 54.
+	defaultSize = 30
+	// minSize and maxSize bound the size that is learned from loads. Each adapter costs about a
 	// hundred bytes.
-	leastRemembered = 4
-	mostRemembered  = 256
+	minSize = 4
+	maxSize = 256
 )
 
-// Memory is the order in which adapters were last seen in an engine's slots, and at which
-// version. Its zero value is empty. It is not safe for concurrent use.
+// Memory is the order in which adapters were last seen in an engine's slots, with their versions.
+// Its zero value is empty. It is not safe for concurrent use.
 type Memory struct {
-	seen map[sandbarrow.AdapterKey]sighting
-	// learnt is by how many adapters the size differs from remembered.
-	learnt int
-	turn   uint64
+	adapters map[sandbarrow.AdapterKey]lastSeen
+	// sizeChange is the difference between the learned size and defaultSize.
+	sizeChange int
+	seq        uint64
 }
 
-// sighting is an adapter as it was seen last.
-type sighting struct {
-	turn    uint64
+// lastSeen is when and at which version an adapter was last seen.
+type lastSeen struct {
+	seq     uint64
 	version sandbarrow.AdapterVersion
 }
 
-// Note counts the adapters that the engine holds now, with their versions, as the last
-// seen.
-func (m *Memory) Note(held iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion]) {
-	if m.seen == nil {
-		m.seen = map[sandbarrow.AdapterKey]sighting{}
+// MarkLoaded marks the adapters that are now loaded in the engine, with their versions, as the most
+// recently seen.
+func (m *Memory) Note(loaded iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion]) {
+	if m.adapters == nil {
+		m.adapters = map[sandbarrow.AdapterKey]lastSeen{}
 	}
-	m.turn++
-	for k, v := range held {
-		m.seen[k] = sighting{turn: m.turn, version: v}
+	m.seq++
+	for k, v := range loaded {
+		m.adapters[k] = lastSeen{seq: m.seq, version: v}
 	}
-	for len(m.seen) > m.size() {
+	for len(m.adapters) > m.size() {
 		m.dropOldest()
 	}
 }
 
 func (m *Memory) dropOldest() {
 	var oldest sandbarrow.AdapterKey
-	least := uint64(math.MaxUint64)
-	for k, s := range m.seen {
-		if s.turn < least {
-			oldest, least = k, s.turn
+	oldestSeq := uint64(math.MaxUint64)
+	for k, s := range m.adapters {
+		if s.seq < oldestSeq {
+			oldest, oldestSeq = k, s.seq
 		}
 	}
-	delete(m.seen, oldest)
+	delete(m.adapters, oldest)
 }
 
-// Forget drops everything, as a restarted engine does.
-func (m *Memory) Forget() { m.seen = nil }
+// Forget drops all adapters, because a restarted engine has lost its memory.
+func (m *Memory) Forget() { m.adapters = nil }
 
-// Has reports whether an adapter should still be held at a version or a newer one. An
-// older one is no help: engines that had unloaded version 1 shortly before took 248 to
-// 261 ms to load version 2, as from the weight store, and 33 ms to load version 2 again.
+// Has reports whether the memory should still have an adapter at a version or a newer one. An older
+// version does not help: engines that had unloaded version 1 shortly before took 248 to 261 ms to
+// load version 2, as from the weight store, and 33 ms to load version 2 again.
 func (m *Memory) Has(k sandbarrow.AdapterKey, v sandbarrow.AdapterVersion) bool {
-	s, ok := m.seen[k]
+	s, ok := m.adapters[k]
 	return ok && s.version >= v
 }
 
-// Learn follows what a load shows of the memory's size: whether the adapter was expected
-// there, and whether it came as fast as from there. One that nobody expected shows
-// nothing while fewer adapters were seen than are kept.
+// Learn adjusts the estimated size after a load. expected says that the adapter was expected in the
+// memory, and recalled that it was loaded as fast as from there. An unexpected recall is ignored
+// while fewer adapters were seen than the memory is estimated to keep.
 func (m *Memory) Learn(expected, recalled bool) {
 	switch {
 	case expected && !recalled:
-		m.learnt = max(m.learnt-1, leastRemembered-remembered)
-	case !expected && recalled && len(m.seen) >= m.size():
-		m.learnt = min(m.learnt+1, mostRemembered-remembered)
+		m.sizeChange = max(m.sizeChange-1, minSize-defaultSize)
+	case !expected && recalled && len(m.adapters) >= m.size():
+		m.sizeChange = min(m.sizeChange+1, maxSize-defaultSize)
 	}
 }
 
-// size is how many adapters are kept.
+// size is the estimated number of adapters in the memory.
 func (m *Memory) size() int {
-	return remembered + m.learnt
+	return defaultSize + m.sizeChange
 }
--- a/recall/memory_test.go
+++ b/recall/memory_test.go
@@ -17,23 +17,23 @@
 	return sandbarrow.AdapterKey{Adapter: sandbarrow.AdapterID(fmt.Sprint(n))}
 }
 
-// seenAt is one adapter at a version.
-func seenAt(n int, v sandbarrow.AdapterVersion) iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion] {
+// adapterAt is one adapter at a version.
+func adapterAt(n int, v sandbarrow.AdapterVersion) iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion] {
 	return maps.All(map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion{keyOf(n): v})
 }
 
-func TestMemoryIsOfAVersion(t *testing.T) {
+func TestMemoryTracksVersions(t *testing.T) {
 	var m Memory
-	m.Note(seenAt(1, 1))
-	assert.Assert(t, m.Has(keyOf(1), 0), "no version is named: any will do")
+	m.Note(adapterAt(1, 1))
+	assert.Assert(t, m.Has(keyOf(1), 0), "version 0 matches any version")
 	assert.Assert(t, m.Has(keyOf(1), 1))
 	assert.Assert(t, !m.Has(keyOf(1), 2))
-	m.Note(seenAt(1, 2))
+	m.Note(adapterAt(1, 2))
 	assert.Assert(t, m.Has(keyOf(1), 2))
 }
 
 func TestMemoryLearnsItsSize(t *testing.T) {
-	for _, kept := range []int{12, 54} {
+	for _, engineSize := range []int{12, 54} {
 		var engine []int // the newest last
 		var m Memory
 		random := rand.New(rand.NewPCG(1, 2))
@@ -45,21 +45,21 @@
 				engine = slices.Delete(engine, at, at+1)
 			}
 			engine = append(engine, n)
-			engine = engine[max(0, len(engine)-kept):]
-			m.Note(seenAt(n, 1))
+			engine = engine[max(0, len(engine)-engineSize):]
+			m.Note(adapterAt(n, 1))
 		}
-		assert.Check(t, m.size() > kept-8 && m.size() < kept+8, "keeps %d, learnt %d", kept, m.size())
+		assert.Check(t, m.size() > engineSize-8 && m.size() < engineSize+8, "engine keeps %d, learned %d", engineSize, m.size())
 	}
 }
 
-func TestMemoryKeepsTheNewest(t *testing.T) {
+func TestMemoryEvictsOldest(t *testing.T) {
 	var m Memory
-	for n := range remembered + 5 {
-		m.Note(seenAt(n, 1))
+	for n := range defaultSize + 5 {
+		m.Note(adapterAt(n, 1))
 	}
 	assert.Assert(t, !m.Has(keyOf(4), 1))
 	assert.Assert(t, m.Has(keyOf(5), 1))
-	assert.Assert(t, m.Has(keyOf(remembered+4), 1))
+	assert.Assert(t, m.Has(keyOf(defaultSize+4), 1))
 	m.Forget()
-	assert.Assert(t, !m.Has(keyOf(remembered+4), 1))
+	assert.Assert(t, !m.Has(keyOf(defaultSize+4), 1))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,6 +1,6 @@
-// Package retry bounds retries to a share of the traffic, so that they can't
-// multiply a load that the fleet already fails to carry. It owns the count of one
-// budget and relies on nothing; gateways and entries use it.
+// Package retry bounds retries to a share of the traffic. Otherwise retries would multiply the load
+// of a fleet that is already overloaded. The package owns the count of one budget and depends on
+// nothing; gateways and entries use it.
 package retry
 
 import "sync"
@@ -8,26 +8,25 @@
 // Budget allows retries as a share of requests. It is safe for concurrent use.
 type Budget struct {
 	mu sync.Mutex
-	// most bounds what is saved up, in retries.
-	most  float64
-	saved float64
-	share float64
+	// maxSaved bounds the retries that are saved up.
+	maxSaved float64
+	saved    float64
+	share    float64
 }
 
-// NewBudget returns a full budget that saves up at most so many retries; share is
-// from 0 to 1.
-func NewBudget(share, most float64) *Budget {
-	return &Budget{most: most, saved: most, share: share}
+// NewBudget returns a full budget that saves up at most maxSaved retries. share is from 0 to 1.
+func NewBudget(share, maxSaved float64) *Budget {
+	return &Budget{maxSaved: maxSaved, saved: maxSaved, share: share}
 }
 
 // Request counts a first attempt.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.most, b.saved+b.share)
+	b.saved = min(b.maxSaved, b.saved+b.share)
 }
 
-// Retry takes one retry, or reports that there is none.
+// AllowRetry takes one retry from the budget, and returns false if none is left.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,10 +37,10 @@
 	return true
 }
 
-// SetMost changes how many retries are saved up at most.
-func (b *Budget) SetMost(most float64) {
+// SetMax changes how many retries are saved up at most.
+func (b *Budget) SetMax(maxSaved float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = most
-	b.saved = min(b.saved, most)
+	b.maxSaved = maxSaved
+	b.saved = min(b.saved, maxSaved)
 }
--- a/retry/servicebudgets.go
+++ b/retry/servicebudgets.go
@@ -6,21 +6,21 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// How much of the fleet's allowance for retries one gateway uses. The allowance is
-// the users': a share of a service's requests and a slack beyond it, for all
-// gateways together (settings retry_share and retry_slack). Gateways agree on
-// nothing, so each uses its part, less than all of it.
+// The fractions of the fleet's retry allowance that one gateway uses. The users set the allowance
+// for all gateways together: a share of a service's requests, and a slack beyond it (settings
+// retry_share and retry_slack). Gateways do not coordinate retries. Each uses less than its part of
+// the allowance.
 const (
-	// sharePart is the part of the share that is used: with less, streams end for
-	// want of a retry while many answers are lost.
-	sharePart = 0.95
-	// slackPart is the part of the slack that is used: with less, streams end right
-	// after a crash of many engines.
-	slackPart = 0.7
-	// startPart is the part of the burst that a gateway starts with: many may restart
-	// at once, and those before them have spent theirs.
-	startPart = 0.4
-	// UnknownBurst is the burst while the number of gateways is not known.
+	// shareFraction is the fraction of the share that is used. With less, streams break for lack of
+	// retries while many responses are lost.
+	shareFraction = 0.95
+	// slackFraction is the fraction of the slack that is used. With less, streams break right after
+	// a crash of many engines.
+	slackFraction = 0.7
+	// initialFraction is the fraction of the burst that a gateway starts with. Many gateways may
+	// restart at once, and their predecessors have already spent their bursts.
+	initialFraction = 0.4
+	// FallbackBurst is the burst while the number of gateways is not known.
 	UnknownBurst = 2
 )
 
@@ -32,35 +32,35 @@
 	budgets map[sandbarrow.ServiceID]*Budget
 }
 
-// NewServiceBudgets returns the budgets of a gateway of a fleet that may send a share of its
-// requests again, from 0 to 1, and so many more beyond that.
+// NewServiceBudgets returns the budgets of a gateway. Its fleet may retry a share of its requests,
+// from 0 to 1, and slack requests beyond that.
 func NewServiceBudgets(share, slack float64) *ServiceBudgets {
 	return &ServiceBudgets{budgets: map[sandbarrow.ServiceID]*Budget{}, share: share, slack: slack}
 }
 
-// Budget returns the budget of a service: this gateway's part of what all gateways together
-// may send again. gateways is how many there are, 0 where that is not known.
+// Budget returns the budget of a service: this gateway's part of the retries of all gateways
+// together. gateways is the number of gateways, 0 if it is not known.
 func (s *ServiceBudgets) Budget(id sandbarrow.ServiceID, gateways int) *Budget {
-	most := BurstOf(s.slack, gateways)
+	maxSaved := BurstOf(s.slack, gateways)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[id]
 	if b == nil {
-		b = NewBudget(s.share*sharePart, max(1, most*startPart))
+		b = NewBudget(s.share*shareFraction, max(1, maxSaved*initialFraction))
 		s.budgets[id] = b
 	}
-	b.SetMost(most)
+	b.SetMax(maxSaved)
 	return b
 }
 
-// BurstOf decides how many retries one gateway may save up, at least one.
+// GatewayBurst decides how many retries one gateway may save up, at least one.
 //
-// Inputs: the retries that the fleet may make beyond its share of the requests
-// (setting retry_slack), and the number of gateways as the controllers see them, at
-// most half a second old; 0 where no controller is linked.
+// Inputs: the retries that the fleet may make beyond its share of the requests (setting
+// retry_slack), and the number of gateways that the controllers report. This number is at most half
+// a second old; 0 if no controller is linked.
 func BurstOf(slack float64, gateways int) float64 {
 	if gateways == 0 {
 		return min(UnknownBurst, slack)
 	}
-	return max(1, slack*slackPart/float64(gateways))
+	return max(1, slack*slackFraction/float64(gateways))
 }
--- a/retry/servicebudgets_test.go
+++ b/retry/servicebudgets_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBurstOf(t *testing.T) {
+func TestGatewayBurst(t *testing.T) {
 	for name, tc := range map[string]struct {
 		slack    float64
 		gateways int
 		want     float64
 	}{
-		"nobody known":        {50, 0, UnknownBurst},
-		"nobody known, tight": {1, 0, 1},
-		"alone":               {50, 1, 35},
-		"five":                {50, 5, 7},
-		"more than the slack": {50, 80, 1},
+		"no gateway known":              {50, 0, UnknownBurst},
+		"no gateway known, small slack": {1, 0, 1},
+		"one gateway":                   {50, 1, 35},
+		"five gateways":                 {50, 5, 7},
+		"more gateways than slack":      {50, 80, 1},
 	} {
 		assert.Assert(t, math.Abs(BurstOf(tc.slack, tc.gateways)-tc.want) < 1e-9, name)
 	}
--- a/sendkeepers/peer.go
+++ b/sendkeepers/peer.go
@@ -12,23 +12,23 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// peerIdleTimeout is how long a connection to a peer is kept without use.
+// peerIdleTimeout is how long an idle connection to a peer is kept.
 const peerIdleTimeout = 10 * time.Second
 
-// peer is a peer, and a connection to it that is opened when it is needed and kept while it is
-// used. It is safe for concurrent use.
+// peer is another gateway, with a connection that is opened on demand and closed when idle. It is
+// safe for concurrent use.
 type peer struct {
 	address string
 
-	mu   sync.Mutex
-	rpc  *jsonrpc2.Conn
-	used time.Time
+	mu       sync.Mutex
+	rpc      *jsonrpc2.Conn
+	lastUsed time.Time
 }
 
 // Name is the peer's address.
 func (p *peer) Name() string { return p.address }
 
-// Send asks the peer for one send. A connection over which no answer came is closed.
+// Send requests one send from the peer. The connection is closed if no reply arrives.
 func (p *peer) Send(ctx context.Context, q enginelink.Send) (grant enginelink.SendGrant, err error) {
 	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
@@ -42,24 +42,25 @@
 	return grant, errors.Trace(err)
 }
 
-// Sent reports to the peer what another process granted.
+// Sent reports to the peer the sends that another process has granted.
 func (p *peer) Sent(s enginelink.Sent) {
 	ctx, cancel := context.WithTimeout(context.Background(), SendTimeout)
 	defer cancel()
 	rpc, err := p.connect(ctx)
 	if err != nil {
-		return // a peer that can't be reached is found out by the next question
+		return // the next request for a send detects an unreachable peer
 	}
 	if rpc.Notify(ctx, enginelink.MethodSent, s) != nil {
 		p.drop(rpc)
 	}
 }
 
-// connect returns the connection, and opens one where there is none that the peer keeps too.
+// connect returns the open connection, or opens a new one if there is none or the peer has closed
+// it.
 func (p *peer) connect(ctx context.Context) (*jsonrpc2.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.used = boottime.Now()
+	p.lastUsed = boottime.Now()
 	if p.rpc != nil {
 		select {
 		case <-p.rpc.DisconnectNotify():
@@ -75,7 +76,7 @@
 	return rpc, nil
 }
 
-// drop closes a connection.
+// drop closes a broken connection.
 func (p *peer) drop(rpc *jsonrpc2.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +86,6 @@
 	}
 }
 
-// close closes the connection, if there is one.
 func (p *peer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 // closeIdle closes a connection that was not used for peerIdleTimeout.
 func (p *peer) closeIdle(now time.Time) {
 	p.mu.Lock()
-	idle := now.Sub(p.used) >= peerIdleTimeout
+	idle := now.Sub(p.lastUsed) >= peerIdleTimeout
 	p.mu.Unlock()
 	if idle {
 		p.close()
--- a/sendkeepers/sendkeepers.go
+++ b/sendkeepers/sendkeepers.go
@@ -1,10 +1,11 @@
-// Package sendkeepers asks the processes that count the sends to upstreams which name a limit.
+// Package sendkeepers queries the coordinators of upstream limits: the processes that count the
+// sends to upstreams which name a limit.
 //
-// A limit is for all gateways together, and often far below one request a second for each, so that
-// none can keep to it by itself: each send to such an upstream is asked for at a process that all
-// gateways prefer. The package owns the choice of that process, what is known of those that do not
-// answer, and the connections to peers. It relies on package throttle for the counts, and on its
-// gateway for the links to controllers.
+// A limit applies to all gateways together, and is often far below one request a second for each of
+// them, so no gateway can apply it alone. Each send to such an upstream is requested from a
+// coordinator that all gateways prefer. The package owns the choice of the coordinator, the list of
+// unresponsive ones, and the connections to peers. It depends on package throttle for the counts,
+// and on its gateway for the links to controllers.
 package sendkeepers
 
 import (
@@ -23,139 +24,139 @@
 )
 
 const (
-	// SendTimeout bounds one question for a send.
+	// SendTimeout bounds one request for a send.
 	SendTimeout = 150 * time.Millisecond
-	// aloneParts is into how many parts a limit is split among gateways that reach neither a
-	// controller nor a peer.
-	aloneParts = 8
-	// keepersPerLimit is how many processes count the sends to one upstream: what one grants
-	// is reported to the other, so that it knows how much is left when it is asked.
-	keepersPerLimit = 2
-	// keeperSuspectFor is how long a process is not asked that did not answer.
-	keeperSuspectFor = time.Second
-	// unansweredPause is how long no send is asked for after no process answered.
-	unansweredPause = 300 * time.Millisecond
-	// reportsAtOnce bounds the reports that are on their way; of more some are left out.
-	reportsAtOnce = 64
+	// standaloneShares is the number of shares that a limit is split into if a gateway reaches
+	// neither a controller nor a peer.
+	standaloneShares = 8
+	// coordinatorsPerLimit is how many coordinators count the sends to one upstream. Each reports
+	// its grants to the other, which can then take over with the right count.
+	coordinatorsPerLimit = 2
+	// suspectPeriod is how long a coordinator is skipped after it did not reply.
+	suspectPeriod = time.Second
+	// unansweredBackoff is the backoff for requests for sends after no coordinator replied.
+	unansweredBackoff = 300 * time.Millisecond
+	// maxReportsInFlight bounds the concurrent reports. Reports beyond it are dropped.
+	maxReportsInFlight = 64
 )
 
-// Keeper is a process that grants sends to limited upstreams.
+// Coordinator is a process that grants sends to limited upstreams.
 type Keeper interface {
-	// Name tells processes apart.
+	// Name identifies the process.
 	Name() string
-	// Send asks for one send.
+	// Send requests one send.
 	Send(ctx context.Context, q enginelink.Send) (enginelink.SendGrant, error)
 	// Sent reports sends that another process has granted.
 	Sent(s enginelink.Sent)
 }
 
-// Config is what Keepers need.
+// Config configures Coordinators.
 type Config struct {
-	// Controllers returns the controllers that are linked.
+	// Controllers returns the linked controllers.
 	Controllers func() []Keeper
 	Logger      *slog.Logger
-	// Own grants sends where this gateway is asked by its peers.
+	// Own grants the sends that are requested from this gateway.
 	Own *enginelink.SendKeeper
-	// PeerAddress is where peers reach this gateway.
+	// PeerAddress is the address where peers reach this gateway.
 	PeerAddress string
 	// Peers are addresses of other gateways; some may be stale or down.
 	Peers []string
 }
 
-// Keepers chooses which processes are asked for sends to a limited upstream: all gateways
-// prefer the same two. These are controllers where any is linked, since all gateways are linked
-// to them; else the peers; else this gateway grants its part alone. It is safe for concurrent
-// use.
+// Coordinators chooses the coordinators for a limited upstream. All gateways prefer the same two.
+// They are controllers if any is linked, since all gateways are linked to the controllers.
+// Otherwise they are peers. A gateway that reaches neither grants its share of the limit alone. It
+// is safe for concurrent use.
 type Keepers struct {
-	// alone grants this gateway's part of the limits while it reaches no other process.
-	alone   *enginelink.SendKeeper
-	config  Config
-	reports chan struct{}
-
-	mu      sync.Mutex
-	peers   map[string]*peer
-	suspect map[string]time.Time
+	// standalone grants this gateway's share of the limits while it reaches no other process.
+	standalone *enginelink.SendKeeper
+	config     Config
+	reports    chan struct{}
+
+	mu       sync.Mutex
+	peers    map[string]*peer
+	suspects map[string]time.Time
 }
 
-// New returns the processes that a gateway may ask.
+// New returns the coordinators that a gateway may use.
 func New(c Config) *Keepers {
 	return &Keepers{
-		alone: enginelink.NewSendKeeper(aloneParts), config: c, peers: map[string]*peer{}, reports: make(chan struct{}, reportsAtOnce), suspect: map[string]time.Time{},
+		standalone: enginelink.NewSendKeeper(standaloneShares), config: c, peers: map[string]*peer{}, reports: make(chan struct{}, maxReportsInFlight), suspects: map[string]time.Time{},
 	}
 }
 
-// Run closes connections to peers that rest, until ctx ends, and then all.
-func (k *Keepers) Run(ctx context.Context) error {
+// Run closes idle connections to peers until ctx ends, and then closes all.
+func (c *Keepers) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, peerIdleTimeout)
-		k.closeIdle(boottime.Now())
+		c.closeIdle(boottime.Now())
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, p := range k.peers {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, p := range c.peers {
 		p.close()
 	}
 	return nil
 }
 
-func (k *Keepers) closeIdle(now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, p := range k.peers {
+func (c *Keepers) closeIdle(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, p := range c.peers {
 		p.closeIdle(now)
 	}
 }
 
-// Ask asks for one send, one process after the other until one answers. The others that count
-// the sends to the upstream hear of a grant.
-func (k *Keepers) Ask(ctx context.Context, q enginelink.Send) enginelink.SendGrant {
-	list := k.answering(k.of(q.Instance))
+// RequestSend requests one send from one coordinator after the other until one replies. It reports a
+// grant to the other coordinators of the upstream.
+func (c *Keepers) Ask(ctx context.Context, q enginelink.Send) enginelink.SendGrant {
+	list := c.responsive(c.ranked(q.Instance))
 	if len(list) == 0 {
-		list = []Keeper{aloneKeeper{k.alone}}
+		list = []Keeper{standaloneCoordinator{c.standalone}}
 	}
-	for _, keeper := range list[:min(len(list), keepersPerLimit)] {
-		grant, err := keeper.Send(ctx, q)
+	for _, coordinator := range list[:min(len(list), coordinatorsPerLimit)] {
+		grant, err := coordinator.Send(ctx, q)
 		if err == nil {
 			if grant.Granted {
-				k.report(keeper, enginelink.Sent{Record: q.Record, Sends: 1})
+				c.report(coordinator, enginelink.Sent{Record: q.Record, Sends: 1})
 			}
 			return grant
 		}
 		if ctx.Err() != nil {
 			break // the caller has left
 		}
-		k.doubt(keeper, err)
+		c.markSuspect(coordinator, err)
 	}
-	return enginelink.SendGrant{WaitMS: unansweredPause.Milliseconds()}
+	return enginelink.SendGrant{WaitMS: unansweredBackoff.Milliseconds()}
 }
 
-// Report reports sends, or what an upstream says of its limit, to the processes that count them.
-func (k *Keepers) Report(s enginelink.Sent) { k.report(nil, s) }
+// Report reports sends, or the state of an upstream's limit, to the upstream's coordinators.
+func (c *Keepers) Report(s enginelink.Sent) { c.report(nil, s) }
 
-// report reports to the processes that count the sends to an upstream, but to one.
-func (k *Keepers) report(except Keeper, s enginelink.Sent) {
-	list := k.of(s.Instance)
-	for _, keeper := range list[:min(len(list), keepersPerLimit)] {
-		if except != nil && keeper.Name() == except.Name() {
+// report reports to all coordinators of an upstream except one.
+func (c *Keepers) report(except Keeper, s enginelink.Sent) {
+	list := c.ranked(s.Instance)
+	for _, coordinator := range list[:min(len(list), coordinatorsPerLimit)] {
+		if except != nil && coordinator.Name() == except.Name() {
 			continue
 		}
 		select {
-		case k.reports <- struct{}{}:
+		case c.reports <- struct{}{}:
 		default:
-			continue // the upstream's next answer, or the next question, says the same
+			continue // the next response or request for a send reports the same
 		}
 		go func() { // ends within SendTimeout
-			defer func() { <-k.reports }()
-			keeper.Sent(s)
+			defer func() { <-c.reports }()
+			coordinator.Sent(s)
 		}()
 	}
 }
 
-// of returns the processes that may grant sends to an upstream, the preferred first.
-func (k *Keepers) of(id sandbarrow.InstanceID) []Keeper {
-	list := k.config.Controllers()
-	if len(k.answering(list)) == 0 {
-		list = k.peerKeepers()
+// ranked returns the processes that may grant sends to an upstream, the preferred first.
+func (c *Keepers) ranked(id sandbarrow.InstanceID) []Keeper {
+	list := c.config.Controllers()
+	if len(c.responsive(list)) == 0 {
+		list = c.peerCoordinators()
 	}
 	slices.SortFunc(list, func(a, b Keeper) int {
 		return cmp.Compare(rendezvous.Rank(string(id), b.Name()), rendezvous.Rank(string(id), a.Name()))
@@ -163,75 +164,75 @@
 	return list
 }
 
-// peerKeepers are the peers, this gateway among them where it is one.
-func (k *Keepers) peerKeepers() []Keeper {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// peerCoordinators returns the peers, including this gateway if it is in the list.
+func (c *Keepers) peerCoordinators() []Keeper {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var list []Keeper
-	for _, address := range k.config.Peers {
-		if address == k.config.PeerAddress {
-			list = append(list, ownKeeper{address: address, keeper: k.config.Own})
+	for _, address := range c.config.Peers {
+		if address == c.config.PeerAddress {
+			list = append(list, ownCoordinator{address: address, coordinator: c.config.Own})
 			continue
 		}
-		if k.peers[address] == nil {
-			k.peers[address] = &peer{address: address}
+		if c.peers[address] == nil {
+			c.peers[address] = &peer{address: address}
 		}
-		list = append(list, k.peers[address])
+		list = append(list, c.peers[address])
 	}
 	return list
 }
 
-// answering leaves out those that did not answer lately.
-func (k *Keepers) answering(list []Keeper) []Keeper {
+// responsive leaves out coordinators that did not reply within the last suspectPeriod.
+func (c *Keepers) responsive(list []Keeper) []Keeper {
 	now := boottime.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(list), func(s Keeper) bool { return now.Sub(k.suspect[s.Name()]) < keeperSuspectFor })
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.DeleteFunc(slices.Clone(list), func(other Keeper) bool { return now.Sub(c.suspects[other.Name()]) < suspectPeriod })
 }
 
-// doubt notes that a process did not answer.
-func (k *Keepers) doubt(s Keeper, err error) {
-	k.config.Logger.Info("keeper of upstreams' limits did not answer", "keeper", s.Name(), "error", err.Error())
+// markSuspect records that a coordinator did not reply.
+func (c *Keepers) markSuspect(suspect Keeper, err error) {
+	c.config.Logger.Info("limit coordinator did not reply", "keeper", suspect.Name(), "error", err.Error())
 	now := boottime.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for name, at := range k.suspect {
-		if now.Sub(at) >= keeperSuspectFor {
-			delete(k.suspect, name)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, at := range c.suspects {
+		if now.Sub(at) >= suspectPeriod {
+			delete(c.suspects, name)
 		}
 	}
-	k.suspect[s.Name()] = now
+	c.suspects[suspect.Name()] = now
 }
 
-// ownKeeper is this gateway as one that its peers ask.
-type ownKeeper struct {
-	address string
-	keeper  *enginelink.SendKeeper
+// ownCoordinator is this gateway in its role as a coordinator for its peers.
+type ownCoordinator struct {
+	address     string
+	coordinator *enginelink.SendKeeper
 }
 
-// Name tells it apart.
-func (o ownKeeper) Name() string { return o.address }
+// Name returns the gateway's address.
+func (o ownCoordinator) Name() string { return o.address }
 
 // Send grants or refuses one send.
-func (o ownKeeper) Send(_ context.Context, q enginelink.Send) (enginelink.SendGrant, error) {
-	grant, _ := o.keeper.Send(&q)
+func (o ownCoordinator) Send(_ context.Context, q enginelink.Send) (enginelink.SendGrant, error) {
+	grant, _ := o.coordinator.Send(&q)
 	return grant, nil
 }
 
 // Sent counts sends that another process has granted.
-func (o ownKeeper) Sent(s enginelink.Sent) { o.keeper.Sent(&s) }
+func (o ownCoordinator) Sent(s enginelink.Sent) { o.coordinator.Sent(&s) }
 
-// aloneKeeper is this gateway where it reaches no other process.
-type aloneKeeper struct{ keeper *enginelink.SendKeeper }
+// standaloneCoordinator grants sends in a gateway that reaches no other process.
+type standaloneCoordinator struct{ coordinator *enginelink.SendKeeper }
 
-// Name tells it apart.
-func (a aloneKeeper) Name() string { return "" }
+// Name is empty, since no other process uses this coordinator.
+func (s standaloneCoordinator) Name() string { return "" }
 
 // Send grants or refuses one send.
-func (a aloneKeeper) Send(_ context.Context, q enginelink.Send) (enginelink.SendGrant, error) {
-	grant, _ := a.keeper.Send(&q)
+func (s standaloneCoordinator) Send(_ context.Context, q enginelink.Send) (enginelink.SendGrant, error) {
+	grant, _ := s.coordinator.Send(&q)
 	return grant, nil
 }
 
 // Sent counts sends that another process has granted.
-func (a aloneKeeper) Sent(s enginelink.Sent) { a.keeper.Sent(&s) }
+func (s standaloneCoordinator) Sent(sent enginelink.Sent) { s.coordinator.Sent(&sent) }
--- a/sendkeepers/sendkeepers_test.go
+++ b/sendkeepers/sendkeepers_test.go
@@ -17,41 +17,41 @@
 	"sandbarrow.example/sandbarrow/throttle"
 )
 
-// fakeKeeper grants all sends, or answers none.
-type fakeKeeper struct {
-	address string
-	silent  bool
+// fakeCoordinator grants all sends, or replies to none.
+type fakeCoordinator struct {
+	address      string
+	unresponsive bool
 
-	mu          sync.Mutex
-	asked, told int
+	mu                sync.Mutex
+	requests, reports int
 }
 
-func (f *fakeKeeper) Name() string { return f.address }
+func (f *fakeCoordinator) Name() string { return f.address }
 
-func (f *fakeKeeper) Send(context.Context, enginelink.Send) (enginelink.SendGrant, error) {
+func (f *fakeCoordinator) Send(context.Context, enginelink.Send) (enginelink.SendGrant, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked++
-	if f.silent {
-		return enginelink.SendGrant{}, errors.New("no answer")
+	f.requests++
+	if f.unresponsive {
+		return enginelink.SendGrant{}, errors.New("no reply")
 	}
 	return enginelink.SendGrant{Granted: true}, nil
 }
 
-func (f *fakeKeeper) Sent(enginelink.Sent) {
+func (f *fakeCoordinator) Sent(enginelink.Sent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told++
+	f.reports++
 }
 
-func (f *fakeKeeper) counts() (asked, told int) {
+func (f *fakeCoordinator) counts() (requests, reports int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asked, f.told
+	return f.requests, f.reports
 }
 
-// newKeepers returns the keepers of a gateway that is linked to controllers.
-func newKeepers(controllers ...*fakeKeeper) *Keepers {
+// newCoordinators returns the coordinators of a gateway that is linked to controllers.
+func newCoordinators(controllers ...*fakeCoordinator) *Keepers {
 	list := func() []Keeper {
 		var all []Keeper
 		for _, f := range controllers {
@@ -62,53 +62,53 @@
 	return New(Config{Controllers: list, Logger: slog.New(slog.DiscardHandler), Own: enginelink.NewSendKeeper(1)})
 }
 
-func question(id sandbarrow.InstanceID) enginelink.Send {
+func sendRequest(id sandbarrow.InstanceID) enginelink.Send {
 	return enginelink.Send{Record: throttle.Record{Instance: id, Rate: 1000}}
 }
 
-func TestAllGatewaysAskTheSameKeeper(t *testing.T) {
-	var list []*fakeKeeper
+func TestAllGatewaysQueryTheSameCoordinator(t *testing.T) {
+	var list []*fakeCoordinator
 	for _, address := range []string{"a:1", "b:1", "c:1", "d:1"} {
-		list = append(list, &fakeKeeper{address: address})
+		list = append(list, &fakeCoordinator{address: address})
 	}
 	reversed := slices.Clone(list)
 	slices.Reverse(reversed)
-	first, second := newKeepers(list...), newKeepers(reversed...)
+	first, second := newCoordinators(list...), newCoordinators(reversed...)
 	for range 3 {
-		assert.Assert(t, first.Ask(t.Context(), question("u@1")).Granted)
-		assert.Assert(t, second.Ask(t.Context(), question("u@1")).Granted)
+		assert.Assert(t, first.Ask(t.Context(), sendRequest("u@1")).Granted)
+		assert.Assert(t, second.Ask(t.Context(), sendRequest("u@1")).Granted)
 	}
-	await.Until(t, 5*time.Second, "reports to the other keeper", func() bool {
-		var asked, told []int
+	await.Until(t, 5*time.Second, "reports to the other coordinator", func() bool {
+		var requests, reports []int
 		for _, f := range list {
-			a, s := f.counts()
-			asked, told = append(asked, a), append(told, s)
+			requested, reported := f.counts()
+			requests, reports = append(requests, requested), append(reports, reported)
 		}
-		slices.Sort(asked)
-		slices.Sort(told)
-		return slices.Equal(asked, []int{0, 0, 0, 6}) && slices.Equal(told, []int{0, 0, 0, 6})
+		slices.Sort(requests)
+		slices.Sort(reports)
+		return slices.Equal(requests, []int{0, 0, 0, 6}) && slices.Equal(reports, []int{0, 0, 0, 6})
 	})
 }
 
-func TestKeeperThatDoesNotAnswerIsPassedOver(t *testing.T) {
-	a, b := &fakeKeeper{address: "a:1", silent: true}, &fakeKeeper{address: "b:1", silent: true}
-	k := newKeepers(a, b)
-	refused := k.Ask(t.Context(), question("u@1"))
-	assert.Assert(t, !refused.Granted && refused.WaitMS > 0, "neither answers")
+func TestUnresponsiveCoordinatorIsSkipped(t *testing.T) {
+	a, b := &fakeCoordinator{address: "a:1", unresponsive: true}, &fakeCoordinator{address: "b:1", unresponsive: true}
+	coordinators := newCoordinators(a, b)
+	refused := coordinators.Ask(t.Context(), sendRequest("u@1"))
+	assert.Assert(t, !refused.Granted && refused.WaitMS > 0, "no coordinator replies")
 	for range 3 {
-		k.Ask(t.Context(), question("u@1"))
+		coordinators.Ask(t.Context(), sendRequest("u@1"))
 	}
-	asked, _ := a.counts()
-	assert.Equal(t, asked, 1, "it is not asked again so soon")
+	requests, _ := a.counts()
+	assert.Equal(t, requests, 1, "a suspect coordinator is queried again too soon")
 }
 
-func TestGatewayWithoutKeepersGrantsAPart(t *testing.T) {
-	k := newKeepers()
+func TestGatewayWithoutCoordinatorsGrantsItsShare(t *testing.T) {
+	coordinators := newCoordinators()
 	granted := 0
 	for began := time.Now(); time.Since(began) < 100*time.Millisecond; time.Sleep(time.Millisecond) {
-		if k.Ask(t.Context(), question("u@1")).Granted {
+		if coordinators.Ask(t.Context(), sendRequest("u@1")).Granted {
 			granted++
 		}
 	}
-	assert.Assert(t, granted > 0 && granted <= 1000/aloneParts/5, "%d granted in 0.1 s", granted)
+	assert.Assert(t, granted > 0 && granted <= 1000/standaloneShares/5, "%d granted in 0.1 s", granted)
 }
--- a/throttle/gates.go
+++ b/throttle/gates.go
@@ -7,67 +7,66 @@
 )
 
 const (
-	// Within is how long a request waits for its turn at a limited upstream, rather than being
-	// refused.
+	// MaxWait is how long a request may wait for a send to a limited upstream before it is refused.
 	Within = 200 * time.Millisecond
-	// leastAskPause and mostAskPause bound the pause until an upstream is asked for again that
-	// takes no request now: the longest is how late a process may learn that its limit has
-	// ended, or that another one has given a send back.
-	leastAskPause = 5 * time.Millisecond
-	mostAskPause  = time.Second
-	// limitedPrice is the price of an upstream that names a limit: one in need is spared where
-	// another one is about as good.
-	limitedPrice = 100 * time.Millisecond
-	// limitOld is after how long without an answer a limit is asked for again, by a request
-	// that goes to its upstream first: it may have ended.
-	limitOld = time.Second
+	// minQueryInterval and maxQueryInterval bound the time between a refused query for a send to an
+	// upstream and the next query. The maximum is also the delay after which a process may learn
+	// that the limit has ended, or that another process has returned an unused send.
+	minQueryInterval = 5 * time.Millisecond
+	maxQueryInterval = time.Second
+	// limitPenalty is the penalty of an upstream that names a limit. It moves requests away from an
+	// overloaded upstream if another one is about as good.
+	limitPenalty = 100 * time.Millisecond
+	// limitRecheckAge is the age at which a limit is checked again, since it may have ended. If no
+	// response has named the limit for this time, requests prefer its upstream.
+	limitRecheckAge = time.Second
 )
 
-// gate is when a limited upstream may be asked for.
+// gate says when a send to a limited upstream may be requested.
 type gate struct {
-	// asking says that a request asks for a send right now.
-	asking bool
-	// free is when a send can be granted, as it was said last; until then none is asked for,
-	// but mostAskPause.
-	free, until time.Time
+	// querying says that a request for a send is in progress.
+	querying bool
+	// grantableAt is when a send can be granted, according to the last reply. No query is made
+	// before nextQueryAt, which is at most maxQueryInterval after that reply.
+	grantableAt, nextQueryAt time.Time
 }
 
-// Gates decide for one process when a request may ask for a send to a limited upstream: not
-// while another one asks, nor before one can be granted. So what an upstream costs in questions
-// is bounded, however many requests there are. The zero Gates know no limit.
+// Gates decide when one process may query a coordinator for a send to a limited upstream. There is
+// one query at a time, and none before a send can be granted. This bounds the queries for each
+// upstream, regardless of the number of requests. The zero Gates have no limits.
 type Gates struct {
 	Table
 	gates map[sandbarrow.InstanceID]*gate
 }
 
-// Look returns how long it is until an upstream may be asked for, and its price: one in need is
-// spared, but for the requests that show whether it still names its limit. Both are 0 for one
-// that names none.
-func (g *Gates) Look(now time.Time, id sandbarrow.InstanceID) (wait, price time.Duration) {
+// Check returns the time until a send to an upstream may be requested, and the upstream's penalty.
+// A limited upstream is avoided, except by the requests that check whether it still names its
+// limit. Both results are 0 for an upstream without a limit.
+func (g *Gates) Look(now time.Time, id sandbarrow.InstanceID) (wait, penalty time.Duration) {
 	limit, limited := g.InForce(now, id)
 	if !limited {
 		return 0, 0
 	}
-	price = limitedPrice
-	if now.Sub(limit.At) > limitOld {
-		price = -limitedPrice
+	penalty = limitPenalty
+	if now.Sub(limit.At) > limitRecheckAge {
+		penalty = -limitPenalty
 	}
 	e := g.gates[id]
 	switch {
 	case e == nil:
-		return 0, price
-	case e.asking:
-		return limit.Rate.Interval(), price
-	case now.Before(e.until):
-		return e.free.Sub(now), price
+		return 0, penalty
+	case e.querying:
+		return limit.Rate.Interval(), penalty
+	case now.Before(e.nextQueryAt):
+		return e.grantableAt.Sub(now), penalty
 	}
-	return 0, price
+	return 0, penalty
 }
 
-// Begin notes that a request asks for a send, and returns what to ask with. Where the upstream
-// names no limit there is no need; where another request asks already, or none can be granted
-// now, it must not.
-func (g *Gates) Begin(now time.Time, id sandbarrow.InstanceID) (record Record, need, may bool) {
+// Begin begins a query for a send, and returns the record to send with it. required is false if the
+// upstream names no limit, and no query is needed. may is false if another query is in progress, or
+// if no send can be granted yet: then the caller must not query.
+func (g *Gates) Begin(now time.Time, id sandbarrow.InstanceID) (record Record, required, may bool) {
 	if _, limited := g.InForce(now, id); !limited {
 		delete(g.gates, id)
 		return record, false, true
@@ -76,15 +75,15 @@
 	if e == nil {
 		e = g.add(id)
 	}
-	if e.asking || now.Before(e.until) {
+	if e.querying || now.Before(e.nextQueryAt) {
 		return record, true, false
 	}
-	e.asking = true
+	e.querying = true
 	record, _ = g.Record(now, id)
 	return record, true, true
 }
 
-// add makes a gate, and drops those whose limits are forgotten.
+// add creates a gate, and drops those whose limits have expired.
 func (g *Gates) add(id sandbarrow.InstanceID) *gate {
 	if g.gates == nil {
 		g.gates = map[sandbarrow.InstanceID]*gate{}
@@ -99,16 +98,16 @@
 	return e
 }
 
-// End notes what came of asking for a send within a time.
+// End applies the reply to a query for a send within a time.
 func (g *Gates) End(now time.Time, id sandbarrow.InstanceID, granted Grant, within time.Duration) {
 	e := g.gates[id]
 	if e == nil {
 		return
 	}
-	e.asking = false
+	e.querying = false
 	if granted.Granted {
 		return
 	}
-	e.free = now.Add(granted.Wait)
-	e.until = now.Add(min(max(granted.Wait-within, leastAskPause), mostAskPause))
+	e.grantableAt = now.Add(granted.Wait)
+	e.nextQueryAt = now.Add(min(max(granted.Wait-within, minQueryInterval), maxQueryInterval))
 }
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -7,59 +7,59 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Limit is what is known of one upstream's limit.
+// Limit is the last known state of one upstream's limit.
 type Limit struct {
-	// At is when the upstream named its limit; where Ended, when the request was sent whose
-	// answer named none: an answer that was on its way before a limit began ends nothing.
+	// At is when the upstream named its limit. If Ended, it is when the request was sent whose
+	// response named no limit: a request that was sent before a limit began must not end it.
 	At time.Time
-	// Ended says that the upstream names no limit any more.
+	// Ended says that the upstream no longer names a limit.
 	Ended bool
 	Rate  Rate
 }
 
-// LimitOf decides what an answer says of its upstream's limit; false where it says nothing. That
-// the upstream names none any more is concluded only from an answer that is no failure.
+// LimitFromResponse returns the state of an upstream's limit according to a response; false if the
+// response does not show it. Only a response that is not a failure shows that a limit has ended.
 //
-// Inputs: when the request was sent, the status of the answer and the limit that it names, nil
-// where it names none.
+// Inputs: when the request was sent, the status of the response and the limit that it names, nil if
+// it names none.
 func LimitOf(now, sent time.Time, status int, named *sandbarrow.RequestRate) (Limit, bool) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		return Limit{}, false // the answer of another instance
+		return Limit{}, false // the response is from another instance
 	case named != nil:
-		return Limit{At: now, Rate: min(Rate(*named), mostRate)}, true
+		return Limit{At: now, Rate: min(Rate(*named), maxRate)}, true
 	case status >= http.StatusInternalServerError:
 		return Limit{}, false
 	}
 	return Limit{At: sent, Ended: true}, true
 }
 
-// newer reports whether the limit replaces another one.
-func (l Limit) newer(than Limit) bool {
-	return l.At.After(than.At)
+// newer reports whether the limit is newer than another one and replaces it.
+func (l Limit) newer(other Limit) bool {
+	return l.At.After(other.At)
 }
 
-// same reports whether two limits say the same, whenever they were named.
-func (l Limit) same(as Limit) bool {
-	return l.Ended == as.Ended && (l.Ended || l.Rate == as.Rate)
+// same reports whether two limits are equal, regardless of when they were named.
+func (l Limit) same(other Limit) bool {
+	return l.Ended == other.Ended && (l.Ended || l.Rate == other.Rate)
 }
 
-// Record is what one process tells another of an upstream's limit.
+// Record is the state of an upstream's limit as one process reports it to another.
 type Record struct {
-	// AgeMS is how long ago the upstream said so, in milliseconds when the Record was made.
+	// AgeMS is the age of this state in milliseconds, at the time when the Record was made.
 	AgeMS int64 `json:"age_ms"`
-	// Ended says that the upstream names no limit any more.
+	// Ended says that the upstream no longer names a limit.
 	Ended    bool                  `json:"ended,omitempty"`
 	Instance sandbarrow.InstanceID `json:"instance"`
 	Rate     Rate                  `json:"rate,omitempty"`
 }
 
-// Valid reports whether a record can be meant as it is.
+// Valid reports whether the fields of a record are within their bounds.
 func (r *Record) Valid() bool {
-	return r.Instance != "" && r.AgeMS >= 0 && r.AgeMS <= keepFor.Milliseconds() && r.Rate >= 0 && r.Rate <= mostRate
+	return r.Instance != "" && r.AgeMS >= 0 && r.AgeMS <= limitRetention.Milliseconds() && r.Rate >= 0 && r.Rate <= maxRate
 }
 
-// limit is the Limit that a record tells of.
+// limit converts a record to a Limit.
 func (r *Record) limit(now time.Time) Limit {
 	return Limit{At: now.Add(-time.Duration(r.AgeMS) * time.Millisecond), Ended: r.Ended, Rate: r.Rate}
 }
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -7,98 +7,97 @@
 )
 
 const (
-	// keepFor is how long a limit is kept that nobody names or looks at.
-	keepFor = 10 * time.Minute
-	// keepEnded is how long the end of a limit is kept: longer than an older naming of it is
-	// on its way.
-	keepEnded = time.Minute
-	// mostLimits bounds the limits that are kept, at some 150 bytes each; those give way that
-	// were looked at least lately.
-	mostLimits = 2048
-	// forgetPause is the pause between two looks for what is to be forgotten.
-	forgetPause = time.Second
+	// limitRetention is how long a limit is kept after it was last named or used.
+	limitRetention = 10 * time.Minute
+	// endedRetention is how long the end of a limit is kept. It is longer than an older record of
+	// the limit can be in transit.
+	endedRetention = time.Minute
+	// maxLimits bounds the stored limits, at about 150 bytes each. The least recently used one is
+	// evicted.
+	maxLimits = 2048
+	// expiryInterval is the minimum time between two scans for expired limits.
+	expiryInterval = time.Second
 )
 
-// known is one limit of a Table.
-type known struct {
+// tableEntry is one limit of a Table.
+type tableEntry struct {
 	Limit
-	// used is when the limit was last named or looked at.
-	used time.Time
+	// lastUsed is when the limit was last named or read.
+	lastUsed time.Time
 }
 
-// Table keeps what a process knows of the limits of upstreams, by their starts: one that has
-// started again has named nothing. The zero Table is empty.
+// Table stores the known limits of upstreams, by instance: a restarted upstream begins without a
+// limit. The zero Table is empty.
 type Table struct {
-	forgotAt time.Time
-	limits   map[sandbarrow.InstanceID]*known
+	expiredAt time.Time
+	limits    map[sandbarrow.InstanceID]*tableEntry
 }
 
-// Apply notes what an upstream said of its limit, unless something newer is known, and reports
-// whether the limit that is held changes with it. The end of a limit that is not known says
-// nothing.
+// Apply applies the state of an upstream's limit unless a newer one is known. It reports whether
+// the limit in force changes. The end of an unknown limit is ignored.
 func (t *Table) Apply(now time.Time, id sandbarrow.InstanceID, l Limit) (changed bool) {
-	t.forget(now)
+	t.expire(now)
 	if l.At.After(now) {
 		l.At = now
 	}
-	k := t.limits[id]
+	e := t.limits[id]
 	switch {
-	case k == nil && l.Ended:
+	case e == nil && l.Ended:
 		return false
-	case k == nil:
+	case e == nil:
 		if t.limits == nil {
-			t.limits = map[sandbarrow.InstanceID]*known{}
+			t.limits = map[sandbarrow.InstanceID]*tableEntry{}
 		}
-		t.limits[id] = &known{Limit: l, used: now}
-		if len(t.limits) > mostLimits {
+		t.limits[id] = &tableEntry{Limit: l, lastUsed: now}
+		if len(t.limits) > maxLimits {
 			t.dropOldest()
 		}
 		return true
-	case !l.newer(k.Limit):
+	case !l.newer(e.Limit):
 		return false
 	}
-	changed = !l.same(k.Limit)
-	k.Limit, k.used = l, now
+	changed = !l.same(e.Limit)
+	e.Limit, e.lastUsed = l, now
 	return changed
 }
 
-// Empty reports whether no limit is known, so that none need be looked at.
+// Empty reports whether no limit is known, so that callers can skip lookups.
 func (t *Table) Empty() bool {
 	return len(t.limits) == 0
 }
 
-// InForce returns the limit of an upstream, or false where it names none.
+// InForce returns the limit of an upstream, or false if it names none.
 func (t *Table) InForce(now time.Time, id sandbarrow.InstanceID) (Limit, bool) {
-	k := t.limits[id]
-	if k == nil || k.Ended {
+	e := t.limits[id]
+	if e == nil || e.Ended {
 		return Limit{}, false
 	}
-	k.used = now
-	return k.Limit, true
+	e.lastUsed = now
+	return e.Limit, true
 }
 
-// Limited counts the upstreams that name a limit.
+// CountLimited counts the upstreams that name a limit.
 func (t *Table) Limited() int {
 	n := 0
-	for _, k := range t.limits {
-		if !k.Ended {
+	for _, e := range t.limits {
+		if !e.Ended {
 			n++
 		}
 	}
 	return n
 }
 
-// Record is what another process is told of an upstream's limit; false where none is known.
+// Record returns the record of an upstream's limit for other processes; false if none is known.
 func (t *Table) Record(now time.Time, id sandbarrow.InstanceID) (Record, bool) {
-	k := t.limits[id]
-	if k == nil {
+	e := t.limits[id]
+	if e == nil {
 		return Record{}, false
 	}
-	age := min(max(0, now.Sub(k.At)), keepFor) // one that is looked at is kept longer
-	return Record{AgeMS: age.Milliseconds(), Ended: k.Ended, Instance: id, Rate: k.Rate}, true
+	age := min(max(0, now.Sub(e.At)), limitRetention) // Valid rejects older records
+	return Record{AgeMS: age.Milliseconds(), Ended: e.Ended, Instance: id, Rate: e.Rate}, true
 }
 
-// Records tells all that is known.
+// Records returns the records of all known limits.
 func (t *Table) Records(now time.Time) []Record {
 	var list []Record
 	for id := range t.limits {
@@ -109,31 +108,31 @@
 	return list
 }
 
-// Merge applies what another process tells, and reports whether a limit that is held changes.
+// Merge applies a record from another process, and reports whether the limit in force changes.
 func (t *Table) Merge(now time.Time, r Record) (changed bool) {
 	return r.Valid() && t.Apply(now, r.Instance, r.limit(now))
 }
 
-// forget drops what nobody needs any more.
-func (t *Table) forget(now time.Time) {
-	if now.Sub(t.forgotAt) < forgetPause {
+// expire drops limits that have not been used for their retention time.
+func (t *Table) expire(now time.Time) {
+	if now.Sub(t.expiredAt) < expiryInterval {
 		return
 	}
-	t.forgotAt = now
-	for id, k := range t.limits {
-		if now.Sub(k.used) > keepFor || k.Ended && now.Sub(k.used) > keepEnded {
+	t.expiredAt = now
+	for id, e := range t.limits {
+		if now.Sub(e.lastUsed) > limitRetention || e.Ended && now.Sub(e.lastUsed) > endedRetention {
 			delete(t.limits, id)
 		}
 	}
 }
 
-// dropOldest drops the limit that was looked at least lately.
+// dropOldest drops the least recently used limit.
 func (t *Table) dropOldest() {
 	var oldest sandbarrow.InstanceID
-	var least *known
-	for id, k := range t.limits {
-		if least == nil || k.used.Before(least.used) {
-			oldest, least = id, k
+	var oldestEntry *tableEntry
+	for id, e := range t.limits {
+		if oldestEntry == nil || e.lastUsed.Before(oldestEntry.lastUsed) {
+			oldest, oldestEntry = id, e
 		}
 	}
 	delete(t.limits, oldest)
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -1,14 +1,15 @@
-// Package throttle holds the requests of many processes to the limits that upstreams name.
+// Package throttle keeps the requests of many processes within the limits that upstreams name.
 //
-// An upstream in need names in its answers how many requests a second it takes from all
-// processes together, for as long as it says so. A Table keeps what a process knows of such
-// limits, the newest answer first. A Keeper grants single sends to limited upstreams; where
-// all processes ask the same one, what they send together stays within the limit, however far
-// that is below one request a second for each of them. Gates bound how often one process asks.
+// An overloaded upstream names a limit in its responses: how many requests a second it accepts from
+// all processes together. The limit is in force while responses name it. A Table stores the limits
+// known to a process, and the newest response wins. A Coordinator grants single sends to limited
+// upstreams. If all processes use the same Coordinator, their requests together stay within the
+// limit, even if it is far below one request a second for each of them. Gates bound how often one
+// process queries a Coordinator.
 //
-// The package owns that memory, bounded and forgotten, and the rule that grants. It has no
-// clock, lock or connection: its callers give the time, guard it, choose the Keeper and carry
-// Records between processes.
+// The package owns this state, which is bounded and expires, and the rule for grants. It has no
+// clock, lock or connection: its callers pass the time, serialize access, choose the Coordinator
+// and carry Records between processes.
 package throttle
 
 import "time"
@@ -17,19 +18,19 @@
 type Rate float64
 
 const (
-	// leastRate is at how many requests a second an upstream is asked that names less, or
-	// none at all: without any request nobody would learn that it takes more again.
-	leastRate Rate = 0.1
-	// mostRate is a bound on what can be meant, in requests a second.
-	mostRate Rate = 1e6
+	// minRate is the rate that is applied if an upstream names a lower one, or zero. Without any
+	// requests, no process would learn that the upstream accepts more again.
+	minRate Rate = 0.1
+	// maxRate is the highest plausible rate, in requests a second.
+	maxRate Rate = 1e6
 )
 
-// held is the rate at which requests are granted.
-func (r Rate) held() float64 {
-	return float64(max(r, leastRate))
+// effective is the rate at which requests are granted.
+func (r Rate) effective() float64 {
+	return float64(max(r, minRate))
 }
 
-// Interval is the time between two requests at the rate that is held.
+// Interval is the time between two requests at the effective rate.
 func (r Rate) Interval() time.Duration {
-	return time.Duration(float64(time.Second) / r.held())
+	return time.Duration(float64(time.Second) / r.effective())
 }
