--- a/availability/end.go
+++ b/availability/end.go
@@ -3,17 +3,17 @@
 import "sandbarrow.example/sandbarrow"
 
 // ExitEvidence says how it is known that an upstream has exited.
-type EndEvidence string
+type ExitEvidence string
 
 const (
 	// ExitRefused means that connections to its address are refused.
-	EndRefused EndEvidence = "refused"
+	ExitRefused ExitEvidence = "refused"
 	// ExitReplaced means that another instance is listed at its address.
-	EndReplaced EndEvidence = "replaced"
+	ExitReplaced ExitEvidence = "replaced"
 	// ExitMisdirected means that another instance responds at its address.
-	EndMisdirected EndEvidence = "misdirected"
+	ExitMisdirected ExitEvidence = "misdirected"
 	// ExitRestarted means that its controller has seen another instance.
-	EndRestarted EndEvidence = "restarted"
+	ExitRestarted ExitEvidence = "restarted"
 )
 
 // DetectExit checks whether another instance has replaced an upstream. It returns "" if there is no
@@ -21,12 +21,12 @@
 //
 // Inputs: the entry that is listed at the upstream's address, nil if there is none, and the last
 // report of its controller.
-func FindEnd(in, listed *sandbarrow.Instance, r Report) EndEvidence {
+func DetectExit(in, listed *sandbarrow.Instance, r Report) ExitEvidence {
 	switch {
 	case listed != nil && !listed.ID.Is(in.ID):
-		return EndReplaced
+		return ExitReplaced
 	case r.Instance != "" && !r.Instance.Is(in.ID):
-		return EndRestarted
+		return ExitRestarted
 	}
 	return ""
 }
--- a/availability/end_test.go
+++ b/availability/end_test.go
@@ -13,15 +13,15 @@
 	for name, c := range map[string]struct {
 		listed *sandbarrow.Instance
 		report Report
-		want   EndEvidence
+		want   ExitEvidence
 	}{
 		"nothing known":                       {nil, Report{}, ""},
 		"same instance":                       {in, Report{Instance: upstream}, ""},
 		"no start time":                       {&sandbarrow.Instance{ID: "u"}, Report{Instance: "u"}, ""},
-		"another instance":                    {&sandbarrow.Instance{ID: restarted}, Report{}, EndReplaced},
-		"another upstream":                    {&sandbarrow.Instance{ID: "v"}, Report{}, EndReplaced},
-		"controller reports another instance": {in, Report{Instance: restarted}, EndRestarted},
+		"another instance":                    {&sandbarrow.Instance{ID: restarted}, Report{}, ExitReplaced},
+		"another upstream":                    {&sandbarrow.Instance{ID: "v"}, Report{}, ExitReplaced},
+		"controller reports another instance": {in, Report{Instance: restarted}, ExitRestarted},
 	} {
-		assert.Equal(t, FindEnd(in, c.listed, c.report), c.want, name)
+		assert.Equal(t, DetectExit(in, c.listed, c.report), c.want, name)
 	}
 }
--- a/availability/notices.go
+++ b/availability/notices.go
@@ -96,7 +96,7 @@
 // responses from the address belong to the next instance, and earlier notices do not apply to it. If
 // an upstream does not report its start time, all its instances share one id. In this case the
 // stored notice is dropped.
-func (n *Notices) Ended(now time.Time, id sandbarrow.InstanceID) {
+func (n *Notices) Exited(now time.Time, id sandbarrow.InstanceID) {
 	if id == sandbarrow.InstanceID(id.Listed()) {
 		n.drop(id)
 		return
@@ -110,7 +110,7 @@
 }
 
 // Check returns the current notice of an upstream.
-func (n *Notices) Look(now time.Time, id sandbarrow.InstanceID) Notice {
+func (n *Notices) Check(now time.Time, id sandbarrow.InstanceID) Notice {
 	e := n.find(id)
 	if e == nil {
 		return Notice{}
@@ -134,7 +134,7 @@
 // list may lag, or never show the drain. If the list has shown it and then shows the upstream as
 // ready, the entry is for another instance, even if the ids contain no start time.
 func (n *Notices) drains(now time.Time, in *sandbarrow.Instance) bool {
-	if !n.Look(now, in.ID).Draining {
+	if !n.Check(now, in.ID).Draining {
 		return in.Draining
 	}
 	e := n.byInstance[in.ID]
--- a/availability/notices_test.go
+++ b/availability/notices_test.go
@@ -22,8 +22,8 @@
 	drains := sandbarrow.Announcement{Draining: true}
 	assert.Equal(t, n.Apply(now, upstream, http.StatusOK, drains), Change{Draining: true})
 	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusOK, drains), Change{})
-	assert.Equal(t, n.Look(now.Add(time.Minute), upstream), Notice{Draining: true, DrainingFor: time.Minute})
-	assert.Equal(t, n.Look(now, restarted), Notice{}, "the restarted upstream has no notice")
+	assert.Equal(t, n.Check(now.Add(time.Minute), upstream), Notice{Draining: true, DrainingFor: time.Minute})
+	assert.Equal(t, n.Check(now, restarted), Notice{}, "the restarted upstream has no notice")
 }
 
 func TestLongestBackoffWins(t *testing.T) {
@@ -32,10 +32,10 @@
 	backoff := func(d time.Duration) sandbarrow.Announcement { return sandbarrow.Announcement{Backoff: d} }
 	assert.Equal(t, n.Apply(now, upstream, http.StatusServiceUnavailable, backoff(3*time.Second)), Change{Backoff: true})
 	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusServiceUnavailable, backoff(time.Second)), Change{})
-	assert.Equal(t, n.Look(now.Add(time.Second), upstream).Backoff, 2*time.Second)
+	assert.Equal(t, n.Check(now.Add(time.Second), upstream).Backoff, 2*time.Second)
 	assert.Equal(t, n.Apply(now.Add(2*time.Second), upstream, http.StatusServiceUnavailable, backoff(3*time.Second)), Change{})
-	assert.Equal(t, n.Look(now.Add(2*time.Second), upstream).Backoff, 3*time.Second)
-	assert.Equal(t, n.Look(now.Add(5*time.Second), upstream), Notice{}, "the backoff is over")
+	assert.Equal(t, n.Check(now.Add(2*time.Second), upstream).Backoff, 3*time.Second)
+	assert.Equal(t, n.Check(now.Add(5*time.Second), upstream), Notice{}, "the backoff is over")
 	assert.Equal(t, n.Apply(now.Add(6*time.Second), upstream, http.StatusServiceUnavailable, backoff(time.Second)), Change{Backoff: true})
 }
 
@@ -44,7 +44,7 @@
 	var n Notices
 	notice := sandbarrow.Announcement{Backoff: time.Second, Draining: true}
 	assert.Equal(t, n.Apply(now, upstream, http.StatusMisdirectedRequest, notice), Change{})
-	assert.Equal(t, n.Look(now, upstream), Notice{})
+	assert.Equal(t, n.Check(now, upstream), Notice{})
 }
 
 func TestNoticesExpireAndAreBounded(t *testing.T) {
@@ -54,7 +54,7 @@
 	n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
 	n.Apply(now.Add(2*time.Second), "other", http.StatusOK, sandbarrow.Announcement{})
 	assert.Equal(t, len(n.byInstance), 1, "the backoff is over and dropped")
-	n.Look(now.Add(noticeRetention), upstream)
+	n.Check(now.Add(noticeRetention), upstream)
 	n.Apply(now.Add(noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
 	assert.Equal(t, len(n.byInstance), 1, "a notice in use is kept")
 	n.Apply(now.Add(2*noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
@@ -73,15 +73,15 @@
 	for _, first := range []sandbarrow.Announcement{{}, drains} {
 		var n Notices
 		n.Apply(now, upstream, http.StatusOK, first)
-		n.Ended(now, upstream)
-		assert.Equal(t, n.Look(now, restarted), Notice{}, "the next instance has no notice")
-		n.Ended(now, restarted)
+		n.Exited(now, upstream)
+		assert.Equal(t, n.Check(now, restarted), Notice{}, "the next instance has no notice")
+		n.Exited(now, restarted)
 		n.Apply(now, restarted, http.StatusOK, drains)
 		n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
 		want := Notice{Backoff: time.Second, Draining: true}
-		assert.Equal(t, n.Look(now, restarted), want, "the list still shows the previous instance")
-		assert.Equal(t, n.Look(now, "v@3"), Notice{}, "another upstream")
-		assert.Equal(t, n.Look(now, "u@3"), want)
+		assert.Equal(t, n.Check(now, restarted), want, "the list still shows the previous instance")
+		assert.Equal(t, n.Check(now, "v@3"), Notice{}, "another upstream")
+		assert.Equal(t, n.Check(now, "u@3"), want)
 		assert.Assert(t, len(n.byInstance) == 1 && len(n.exited) == 0)
 	}
 }
@@ -90,15 +90,15 @@
 	now := time.Now()
 	var n Notices
 	n.Apply(now, "u", http.StatusOK, sandbarrow.Announcement{Draining: true})
-	n.Ended(now, "u")
-	assert.Equal(t, n.Look(now, "u"), Notice{})
+	n.Exited(now, "u")
+	assert.Equal(t, n.Check(now, "u"), Notice{})
 }
 
 func TestExitsExpireAndAreBounded(t *testing.T) {
 	now := time.Now()
 	var n Notices
 	for i := range maxNotices + 10 {
-		n.Ended(now, sandbarrow.NewInstanceID(sandbarrow.ListedID(fmt.Sprint(i)), 1))
+		n.Exited(now, sandbarrow.NewInstanceID(sandbarrow.ListedID(fmt.Sprint(i)), 1))
 	}
 	assert.Assert(t, len(n.byInstance) == maxNotices && len(n.exited) == maxNotices)
 	n.Apply(now.Add(noticeRetention+time.Second), upstream, http.StatusOK, sandbarrow.Announcement{})
--- a/availability/outcomes.go
+++ b/availability/outcomes.go
@@ -79,7 +79,7 @@
 }
 
 // Check returns the number of requests in flight at an upstream and the penalty for its failures.
-func (o *Outcomes) Look(now time.Time, id sandbarrow.InstanceID) (inFlight int, penalty time.Duration) {
+func (o *Outcomes) Check(now time.Time, id sandbarrow.InstanceID) (inFlight int, penalty time.Duration) {
 	s := o.upstreams[id]
 	if s == nil {
 		return 0, 0
--- a/availability/outcomes_test.go
+++ b/availability/outcomes_test.go
@@ -14,7 +14,7 @@
 	now := time.Now()
 	var table Outcomes
 	penaltyNow := func() time.Duration {
-		_, penalty := table.Look(now, "a")
+		_, penalty := table.Check(now, "a")
 		return penalty
 	}
 	assert.Equal(t, penaltyNow(), time.Duration(0))
@@ -27,12 +27,12 @@
 	now = now.Add(failureHalfLife)
 	assert.Assert(t, penaltyNow() > failed*4/10 && penaltyNow() < failed*6/10, "%v", penaltyNow())
 	table.Begin(now, "a")
-	inFlight, _ := table.Look(now, "a")
+	inFlight, _ := table.Check(now, "a")
 	assert.Equal(t, inFlight, 1)
 	before := penaltyNow()
 	table.End(now, "a", false)
 	assert.Assert(t, penaltyNow() < before)
-	inFlight, _ = table.Look(now, "a")
+	inFlight, _ = table.Check(now, "a")
 	assert.Equal(t, inFlight, 0)
 }
 
@@ -50,6 +50,6 @@
 	table.Begin(now, "new")
 	assert.Equal(t, len(table.upstreams), 2)
 	table.End(now, "0", true)
-	inFlight, _ := table.Look(now, "0")
+	inFlight, _ := table.Check(now, "0")
 	assert.Equal(t, inFlight, 0)
 }
--- a/availability/table.go
+++ b/availability/table.go
@@ -37,7 +37,7 @@
 }
 
 // Check is the result of checking an upstream for a request.
-type Look struct {
+type Check struct {
 	// Blocked is why the upstream accepts no requests now; empty if it accepts them.
 	Blocked Reason
 	// Wait is the time until the upstream may accept a request; 0 if that is not known.
@@ -48,7 +48,7 @@
 	Limited bool
 	// Penalty is the delay that the upstream's failures and limit count as when upstreams are
 	// compared. It is negative for an upstream whose limit is to be checked again.
-	Price time.Duration
+	Penalty time.Duration
 }
 
 // Table is one process's view of all upstreams. The zero Table is empty.
@@ -62,10 +62,10 @@
 //
 // Inputs: the upstream's entry in the list, the last report of its controller, and the state of
 // this table.
-func (t *Table) Look(now time.Time, in *sandbarrow.Instance, r Report) Look {
-	wait, limitPenalty := t.Gates.Look(now, in.ID)
-	backoff := t.Notices.Look(now, in.ID).Backoff
-	result := Look{Limited: limitPenalty != 0, Price: limitPenalty}
+func (t *Table) Check(now time.Time, in *sandbarrow.Instance, r Report) Check {
+	wait, limitPenalty := t.Gates.Check(now, in.ID)
+	backoff := t.Notices.Check(now, in.ID).Backoff
+	result := Check{Limited: limitPenalty != 0, Penalty: limitPenalty}
 	switch {
 	case r.Draining || t.Notices.drains(now, in):
 		result.Blocked = Draining
@@ -78,9 +78,9 @@
 	case wait > 0:
 		result.Blocked, result.Wait = Limited, wait
 	}
-	inFlight, penalty := t.Outcomes.Look(now, in.ID)
+	inFlight, penalty := t.Outcomes.Check(now, in.ID)
 	result.InFlight = inFlight
-	result.Price += penalty
+	result.Penalty += penalty
 	return result
 }
 
@@ -95,7 +95,7 @@
 		return Unlisted, false
 	case t.Notices.drains(now, listed):
 		return Draining, false
-	case t.Notices.Look(now, listed.ID).Backoff > 0:
+	case t.Notices.Check(now, listed.ID).Backoff > 0:
 		return Backoff, false
 	}
 	return "", true
@@ -104,7 +104,7 @@
 // End counts the outcome of a request that Outcomes.Begin has counted. A refusal with a backoff is
 // not counted as a failure: the penalty would outlast the backoff.
 func (t *Table) End(now time.Time, id sandbarrow.InstanceID, failed bool) {
-	if failed && t.Notices.Look(now, id).Backoff > 0 {
+	if failed && t.Notices.Check(now, id).Backoff > 0 {
 		t.Outcomes.Discard(id)
 		return
 	}
--- a/gateway/blocked.go
+++ b/gateway/blocked.go
@@ -36,7 +36,7 @@
 }
 
 // note notes a look at an upstream; excluded says that the call does not choose it again.
-func (b *blockedUpstreams) note(now time.Time, l *availability.Look, excluded bool) {
+func (b *blockedUpstreams) note(now time.Time, l *availability.Check, excluded bool) {
 	if l.Wait > 0 {
 		b.noteFree(now.Add(l.Wait), l.Blocked)
 	}
--- a/gateway/enginecost.go
+++ b/gateway/enginecost.go
@@ -137,9 +137,9 @@
 // appraise adds to the cost what the engine costs for the request; false means that
 // it can't serve it. Before, cost holds the penalty for recent failures.
 func (e *candidate) appraise(n *need, f *fleetSurvey) bool {
-	speed := e.speed().Toward(f.speed)
+	speed := e.speed().ShrinkToward(f.speed)
 	move := e.considerMove(n, f)
-	read := move + speed.Read(e.unread(n.tokens))
+	read := move + speed.TimeToFirstEvent(e.unread(n.tokens))
 	e.cost += read
 	if e.remote {
 		e.cost += domainDelay
@@ -153,7 +153,7 @@
 	if !ok {
 		return false
 	}
-	wait += speed.Tokens(e.waitingTokens) + time.Duration(e.status.Running)*runningDelay
+	wait += speed.PrefillTime(e.waitingTokens) + time.Duration(e.status.Running)*runningDelay
 	e.cost += wait
 	if wait+read > n.untilObjective {
 		e.cost += lateDelay
--- a/gateway/progress.go
+++ b/gateway/progress.go
@@ -76,7 +76,7 @@
 	case begun:
 		return longestGap
 	}
-	return firstGap + speed.Tokens(waitingTokens)
+	return firstGap + speed.PrefillTime(waitingTokens)
 }
 
 // watchProgress ends an attempt that makes no progress, where the request may be
--- a/gateway/promptmove.go
+++ b/gateway/promptmove.go
@@ -134,7 +134,7 @@
 		return 0
 	}
 	cost := time.Duration(more) * (n.movePerToken + movePrice)
-	if cost >= e.speed().Tokens(more) {
+	if cost >= e.speed().PrefillTime(more) {
 		return 0
 	}
 	e.move = promptMove{source: *source, tokens: more}
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -179,7 +179,7 @@
 // useful is how long a grant at an engine still lets the answer be in time; it may be
 // negative.
 func (c *call) useful(e *candidate) time.Duration {
-	return c.untilObjective() - e.speed().Read(e.unread(c.tokens))
+	return c.untilObjective() - e.speed().TimeToFirstEvent(e.unread(c.tokens))
 }
 
 // unpin ends the pin at an engine.
--- a/loadtime/estimator.go
+++ b/loadtime/estimator.go
@@ -19,7 +19,7 @@
 }
 
 // ModelFor returns the model for the choice of an engine while inProgress loads are in progress.
-func (e *Estimator) Choice(inProgress int) Model {
+func (e *Estimator) ModelFor(inProgress int) Model {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inProgress = inProgress
@@ -28,7 +28,7 @@
 
 // ObserveLoad updates the model with the time of one load. If an engine finishes several loads between
 // two reports, only the last one is observed.
-func (e *Estimator) Learn(took time.Duration) {
+func (e *Estimator) ObserveLoad(took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Observe(took, e.inProgress)
--- a/loadtime/loadtime.go
+++ b/loadtime/loadtime.go
@@ -29,24 +29,24 @@
 // from the loads that controllers report.
 type Model struct {
 	// BaseTime is the time of one uncontended load, including the order to the engine.
-	Alone time.Duration
+	BaseTime time.Duration
 	// Capacity is how many loads the store sustains at once before each takes longer.
-	Carried float64
+	Capacity float64
 }
 
 // NewModel returns the assumed model before any load was observed.
 func NewModel() Model {
-	return Model{Alone: initialBaseTime, Carried: initialCapacity}
+	return Model{BaseTime: initialBaseTime, Capacity: initialCapacity}
 }
 
 // Slowdown is the time of one more load beside those in progress, as a multiple of the base time.
 func (m *Model) Slowdown(inProgress int) float64 {
-	return max(1, float64(inProgress+1)/m.Carried)
+	return max(1, float64(inProgress+1)/m.Capacity)
 }
 
 // Delay is the time of one more load beside those in progress.
 func (m *Model) Delay(inProgress int) time.Duration {
-	return time.Duration(float64(m.Alone) * m.Slowdown(inProgress))
+	return time.Duration(float64(m.BaseTime) * m.Slowdown(inProgress))
 }
 
 // Observe learns from one load. inProgress is the last known number of loads in progress, including
@@ -57,15 +57,15 @@
 	}
 	loads := float64(max(1, inProgress))
 	switch {
-	case took < m.Alone:
-		m.Alone = took
-	case loads <= max(1, m.Carried/2):
-		m.Alone += time.Duration(baseTimeGain * float64(took-m.Alone))
+	case took < m.BaseTime:
+		m.BaseTime = took
+	case loads <= max(1, m.Capacity/2):
+		m.BaseTime += time.Duration(baseTimeGain * float64(took-m.BaseTime))
 	}
-	slowdown := float64(took) / float64(m.Alone)
+	slowdown := float64(took) / float64(m.BaseTime)
 	if slowdown < contentionFactor {
-		m.Carried = max(m.Carried, loads)
+		m.Capacity = max(m.Capacity, loads)
 		return
 	}
-	m.Carried = max(1, m.Carried+capacityGain*(loads/slowdown-m.Carried))
+	m.Capacity = max(1, m.Capacity+capacityGain*(loads/slowdown-m.Capacity))
 }
--- a/loadtime/loadtime_test.go
+++ b/loadtime/loadtime_test.go
@@ -27,8 +27,8 @@
 			inProgress := 1 + random.IntN(3*capacity)
 			m.Observe(took(inProgress), inProgress)
 		}
-		assert.Check(t, m.Carried > 0.7*float64(capacity) && m.Carried < 1.4*float64(capacity), "capacity %d, learned %.1f", capacity, m.Carried)
-		assert.Check(t, float64(m.Alone) < 1.1*float64(baseTime) && float64(m.Alone) > 0.9*float64(baseTime), "base time %v, learned %v", baseTime, m.Alone)
+		assert.Check(t, m.Capacity > 0.7*float64(capacity) && m.Capacity < 1.4*float64(capacity), "capacity %d, learned %.1f", capacity, m.Capacity)
+		assert.Check(t, float64(m.BaseTime) < 1.1*float64(baseTime) && float64(m.BaseTime) > 0.9*float64(baseTime), "base time %v, learned %v", baseTime, m.BaseTime)
 		few := max(1, capacity/2)
 		assert.Check(t, m.Delay(few) < baseTime*13/10, "%v with %d loads in progress", m.Delay(few), few)
 	})
--- a/readspeed/readspeed.go
+++ b/readspeed/readspeed.go
@@ -18,12 +18,12 @@
 }
 
 // TimeToFirstEvent is the time to prefill so many prompt tokens and send the first event.
-func (s Speed) Read(tokens int) time.Duration {
-	return s.Base + s.Tokens(tokens)
+func (s Speed) TimeToFirstEvent(tokens int) time.Duration {
+	return s.Base + s.PrefillTime(tokens)
 }
 
 // PrefillTime is the time to prefill so many prompt tokens alone.
-func (s Speed) Tokens(tokens int) time.Duration {
+func (s Speed) PrefillTime(tokens int) time.Duration {
 	return time.Duration(tokens) * s.PerToken
 }
 
--- a/readspeed/shrink.go
+++ b/readspeed/shrink.go
@@ -9,7 +9,7 @@
 
 // ShrinkToward returns the speed moved toward a typical one by the noise of the estimates. A
 // difference within the noise is removed.
-func (s Speed) Toward(typical Speed) Speed {
+func (s Speed) ShrinkToward(typical Speed) Speed {
 	return Speed{Base: shrink(s.Base, typical.Base), PerToken: shrink(s.PerToken, typical.PerToken)}
 }
 
--- a/recall/memory.go
+++ b/recall/memory.go
@@ -38,7 +38,7 @@
 
 // MarkLoaded marks the adapters that are now loaded in the engine, with their versions, as the most
 // recently seen.
-func (m *Memory) Note(loaded iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion]) {
+func (m *Memory) MarkLoaded(loaded iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion]) {
 	if m.adapters == nil {
 		m.adapters = map[sandbarrow.AdapterKey]lastSeen{}
 	}
--- a/recall/memory_test.go
+++ b/recall/memory_test.go
@@ -24,11 +24,11 @@
 
 func TestMemoryTracksVersions(t *testing.T) {
 	var m Memory
-	m.Note(adapterAt(1, 1))
+	m.MarkLoaded(adapterAt(1, 1))
 	assert.Assert(t, m.Has(keyOf(1), 0), "version 0 matches any version")
 	assert.Assert(t, m.Has(keyOf(1), 1))
 	assert.Assert(t, !m.Has(keyOf(1), 2))
-	m.Note(adapterAt(1, 2))
+	m.MarkLoaded(adapterAt(1, 2))
 	assert.Assert(t, m.Has(keyOf(1), 2))
 }
 
@@ -46,7 +46,7 @@
 			}
 			engine = append(engine, n)
 			engine = engine[max(0, len(engine)-engineSize):]
-			m.Note(adapterAt(n, 1))
+			m.MarkLoaded(adapterAt(n, 1))
 		}
 		assert.Check(t, m.size() > engineSize-8 && m.size() < engineSize+8, "engine keeps %d, learned %d", engineSize, m.size())
 	}
@@ -55,7 +55,7 @@
 func TestMemoryEvictsOldest(t *testing.T) {
 	var m Memory
 	for n := range defaultSize + 5 {
-		m.Note(adapterAt(n, 1))
+		m.MarkLoaded(adapterAt(n, 1))
 	}
 	assert.Assert(t, !m.Has(keyOf(4), 1))
 	assert.Assert(t, m.Has(keyOf(5), 1))
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -27,7 +27,7 @@
 }
 
 // AllowRetry takes one retry from the budget, and returns false if none is left.
-func (b *Budget) Retry() bool {
+func (b *Budget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.saved < 1 {
--- a/retry/servicebudgets.go
+++ b/retry/servicebudgets.go
@@ -21,7 +21,7 @@
 	// restart at once, and their predecessors have already spent their bursts.
 	initialFraction = 0.4
 	// FallbackBurst is the burst while the number of gateways is not known.
-	UnknownBurst = 2
+	FallbackBurst = 2
 )
 
 // ServiceBudgets holds one gateway's budget of each service. It is safe for concurrent use.
@@ -41,7 +41,7 @@
 // Budget returns the budget of a service: this gateway's part of the retries of all gateways
 // together. gateways is the number of gateways, 0 if it is not known.
 func (s *ServiceBudgets) Budget(id sandbarrow.ServiceID, gateways int) *Budget {
-	maxSaved := BurstOf(s.slack, gateways)
+	maxSaved := GatewayBurst(s.slack, gateways)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[id]
@@ -58,9 +58,9 @@
 // Inputs: the retries that the fleet may make beyond its share of the requests (setting
 // retry_slack), and the number of gateways that the controllers report. This number is at most half
 // a second old; 0 if no controller is linked.
-func BurstOf(slack float64, gateways int) float64 {
+func GatewayBurst(slack float64, gateways int) float64 {
 	if gateways == 0 {
-		return min(UnknownBurst, slack)
+		return min(FallbackBurst, slack)
 	}
 	return max(1, slack*slackFraction/float64(gateways))
 }
--- a/retry/servicebudgets_test.go
+++ b/retry/servicebudgets_test.go
@@ -13,12 +13,12 @@
 		gateways int
 		want     float64
 	}{
-		"no gateway known":              {50, 0, UnknownBurst},
+		"no gateway known":              {50, 0, FallbackBurst},
 		"no gateway known, small slack": {1, 0, 1},
 		"one gateway":                   {50, 1, 35},
 		"five gateways":                 {50, 5, 7},
 		"more gateways than slack":      {50, 80, 1},
 	} {
-		assert.Assert(t, math.Abs(BurstOf(tc.slack, tc.gateways)-tc.want) < 1e-9, name)
+		assert.Assert(t, math.Abs(GatewayBurst(tc.slack, tc.gateways)-tc.want) < 1e-9, name)
 	}
 }
--- a/sendkeepers/sendkeepers.go
+++ b/sendkeepers/sendkeepers.go
@@ -41,7 +41,7 @@
 )
 
 // Coordinator is a process that grants sends to limited upstreams.
-type Keeper interface {
+type Coordinator interface {
 	// Name identifies the process.
 	Name() string
 	// Send requests one send.
@@ -53,7 +53,7 @@
 // Config configures Coordinators.
 type Config struct {
 	// Controllers returns the linked controllers.
-	Controllers func() []Keeper
+	Controllers func() []Coordinator
 	Logger      *slog.Logger
 	// Own grants the sends that are requested from this gateway.
 	Own *enginelink.SendKeeper
@@ -67,7 +67,7 @@
 // They are controllers if any is linked, since all gateways are linked to the controllers.
 // Otherwise they are peers. A gateway that reaches neither grants its share of the limit alone. It
 // is safe for concurrent use.
-type Keepers struct {
+type Coordinators struct {
 	// standalone grants this gateway's share of the limits while it reaches no other process.
 	standalone *enginelink.SendKeeper
 	config     Config
@@ -79,14 +79,14 @@
 }
 
 // New returns the coordinators that a gateway may use.
-func New(c Config) *Keepers {
-	return &Keepers{
+func New(c Config) *Coordinators {
+	return &Coordinators{
 		standalone: enginelink.NewSendKeeper(standaloneShares), config: c, peers: map[string]*peer{}, reports: make(chan struct{}, maxReportsInFlight), suspects: map[string]time.Time{},
 	}
 }
 
 // Run closes idle connections to peers until ctx ends, and then closes all.
-func (c *Keepers) Run(ctx context.Context) error {
+func (c *Coordinators) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, peerIdleTimeout)
 		c.closeIdle(boottime.Now())
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (c *Keepers) closeIdle(now time.Time) {
+func (c *Coordinators) closeIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.peers {
@@ -109,10 +109,10 @@
 
 // RequestSend requests one send from one coordinator after the other until one replies. It reports a
 // grant to the other coordinators of the upstream.
-func (c *Keepers) Ask(ctx context.Context, q enginelink.Send) enginelink.SendGrant {
+func (c *Coordinators) RequestSend(ctx context.Context, q enginelink.Send) enginelink.SendGrant {
 	list := c.responsive(c.ranked(q.Instance))
 	if len(list) == 0 {
-		list = []Keeper{standaloneCoordinator{c.standalone}}
+		list = []Coordinator{standaloneCoordinator{c.standalone}}
 	}
 	for _, coordinator := range list[:min(len(list), coordinatorsPerLimit)] {
 		grant, err := coordinator.Send(ctx, q)
@@ -131,10 +131,10 @@
 }
 
 // Report reports sends, or the state of an upstream's limit, to the upstream's coordinators.
-func (c *Keepers) Report(s enginelink.Sent) { c.report(nil, s) }
+func (c *Coordinators) Report(s enginelink.Sent) { c.report(nil, s) }
 
 // report reports to all coordinators of an upstream except one.
-func (c *Keepers) report(except Keeper, s enginelink.Sent) {
+func (c *Coordinators) report(except Coordinator, s enginelink.Sent) {
 	list := c.ranked(s.Instance)
 	for _, coordinator := range list[:min(len(list), coordinatorsPerLimit)] {
 		if except != nil && coordinator.Name() == except.Name() {
@@ -153,22 +153,22 @@
 }
 
 // ranked returns the processes that may grant sends to an upstream, the preferred first.
-func (c *Keepers) ranked(id sandbarrow.InstanceID) []Keeper {
+func (c *Coordinators) ranked(id sandbarrow.InstanceID) []Coordinator {
 	list := c.config.Controllers()
 	if len(c.responsive(list)) == 0 {
 		list = c.peerCoordinators()
 	}
-	slices.SortFunc(list, func(a, b Keeper) int {
+	slices.SortFunc(list, func(a, b Coordinator) int {
 		return cmp.Compare(rendezvous.Rank(string(id), b.Name()), rendezvous.Rank(string(id), a.Name()))
 	})
 	return list
 }
 
 // peerCoordinators returns the peers, including this gateway if it is in the list.
-func (c *Keepers) peerCoordinators() []Keeper {
+func (c *Coordinators) peerCoordinators() []Coordinator {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var list []Keeper
+	var list []Coordinator
 	for _, address := range c.config.Peers {
 		if address == c.config.PeerAddress {
 			list = append(list, ownCoordinator{address: address, coordinator: c.config.Own})
@@ -183,15 +183,15 @@
 }
 
 // responsive leaves out coordinators that did not reply within the last suspectPeriod.
-func (c *Keepers) responsive(list []Keeper) []Keeper {
+func (c *Coordinators) responsive(list []Coordinator) []Coordinator {
 	now := boottime.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(list), func(other Keeper) bool { return now.Sub(c.suspects[other.Name()]) < suspectPeriod })
+	return slices.DeleteFunc(slices.Clone(list), func(other Coordinator) bool { return now.Sub(c.suspects[other.Name()]) < suspectPeriod })
 }
 
 // markSuspect records that a coordinator did not reply.
-func (c *Keepers) markSuspect(suspect Keeper, err error) {
+func (c *Coordinators) markSuspect(suspect Coordinator, err error) {
 	c.config.Logger.Info("limit coordinator did not reply", "keeper", suspect.Name(), "error", err.Error())
 	now := boottime.Now()
 	c.mu.Lock()
--- a/sendkeepers/sendkeepers_test.go
+++ b/sendkeepers/sendkeepers_test.go
@@ -51,9 +51,9 @@
 }
 
 // newCoordinators returns the coordinators of a gateway that is linked to controllers.
-func newCoordinators(controllers ...*fakeCoordinator) *Keepers {
-	list := func() []Keeper {
-		var all []Keeper
+func newCoordinators(controllers ...*fakeCoordinator) *Coordinators {
+	list := func() []Coordinator {
+		var all []Coordinator
 		for _, f := range controllers {
 			all = append(all, f)
 		}
@@ -75,8 +75,8 @@
 	slices.Reverse(reversed)
 	first, second := newCoordinators(list...), newCoordinators(reversed...)
 	for range 3 {
-		assert.Assert(t, first.Ask(t.Context(), sendRequest("u@1")).Granted)
-		assert.Assert(t, second.Ask(t.Context(), sendRequest("u@1")).Granted)
+		assert.Assert(t, first.RequestSend(t.Context(), sendRequest("u@1")).Granted)
+		assert.Assert(t, second.RequestSend(t.Context(), sendRequest("u@1")).Granted)
 	}
 	await.Until(t, 5*time.Second, "reports to the other coordinator", func() bool {
 		var requests, reports []int
@@ -93,10 +93,10 @@
 func TestUnresponsiveCoordinatorIsSkipped(t *testing.T) {
 	a, b := &fakeCoordinator{address: "a:1", unresponsive: true}, &fakeCoordinator{address: "b:1", unresponsive: true}
 	coordinators := newCoordinators(a, b)
-	refused := coordinators.Ask(t.Context(), sendRequest("u@1"))
+	refused := coordinators.RequestSend(t.Context(), sendRequest("u@1"))
 	assert.Assert(t, !refused.Granted && refused.WaitMS > 0, "no coordinator replies")
 	for range 3 {
-		coordinators.Ask(t.Context(), sendRequest("u@1"))
+		coordinators.RequestSend(t.Context(), sendRequest("u@1"))
 	}
 	requests, _ := a.counts()
 	assert.Equal(t, requests, 1, "a suspect coordinator is queried again too soon")
@@ -106,7 +106,7 @@
 	coordinators := newCoordinators()
 	granted := 0
 	for began := time.Now(); time.Since(began) < 100*time.Millisecond; time.Sleep(time.Millisecond) {
-		if coordinators.Ask(t.Context(), sendRequest("u@1")).Granted {
+		if coordinators.RequestSend(t.Context(), sendRequest("u@1")).Granted {
 			granted++
 		}
 	}
--- a/throttle/coordinator.go
+++ b/throttle/coordinator.go
@@ -17,11 +17,11 @@
 
 // Coordinator grants sends to limited upstreams, and stores the limits that are reported to it. The
 // zero Coordinator has no limits.
-type Keeper struct {
+type Coordinator struct {
 	Table
 	// Shares is the number of equal shares that each limit is split into. This coordinator grants
 	// one of them. 0 means 1.
-	Parts   int
+	Shares  int
 	buckets map[sandbarrow.InstanceID]*bucket
 }
 
@@ -31,7 +31,7 @@
 // response that named the limit; the limits that others have reported; and the sends that were
 // granted here or reported by others. All requests are granted if the limit has ended, according to
 // a newer response to any process.
-func (c *Keeper) Take(now time.Time, reported Record, within time.Duration) Grant {
+func (c *Coordinator) Acquire(now time.Time, reported Record, within time.Duration) Grant {
 	c.Merge(now, reported)
 	limit, limited := c.InForce(now, reported.Instance)
 	if !limited {
@@ -44,7 +44,7 @@
 
 // CountSends counts sends that another coordinator has granted. If sends is negative, it returns
 // granted sends that were not used.
-func (c *Keeper) Spent(now time.Time, reported Record, sends int) {
+func (c *Coordinator) CountSends(now time.Time, reported Record, sends int) {
 	c.Merge(now, reported)
 	if limit, limited := c.InForce(now, reported.Instance); limited && sends != 0 {
 		c.bucket(now, reported.Instance).spend(now, c.granted(limit.Rate), sends)
@@ -53,12 +53,12 @@
 
 // granted is the rate at which this coordinator grants sends: its share of a limit, in requests a
 // second.
-func (c *Keeper) granted(r Rate) float64 {
-	return r.effective() / float64(max(1, c.Parts))
+func (c *Coordinator) granted(r Rate) float64 {
+	return r.effective() / float64(max(1, c.Shares))
 }
 
 // bucket returns the bucket of an upstream that names a limit.
-func (c *Keeper) bucket(now time.Time, id sandbarrow.InstanceID) *bucket {
+func (c *Coordinator) bucket(now time.Time, id sandbarrow.InstanceID) *bucket {
 	b := c.buckets[id]
 	if b != nil {
 		return b
--- a/throttle/coordinator_test.go
+++ b/throttle/coordinator_test.go
@@ -18,12 +18,12 @@
 func TestCoordinatorGrantsAtLimitRate(t *testing.T) {
 	for _, rate := range []Rate{0, 0.2, 0.5, 1.4, 7, 50} {
 		now := time.Now()
-		var c Keeper
+		var c Coordinator
 		granted := 0
 		const seconds = 100
 		for range seconds * 200 {
 			now = now.Add(5 * time.Millisecond)
-			if c.Take(now, named(rate), 0).Granted {
+			if c.Acquire(now, named(rate), 0).Granted {
 				granted++
 			}
 		}
@@ -35,23 +35,23 @@
 // A refusal states the time after which a send is granted.
 func TestRefusedSendIsGrantedAfterWait(t *testing.T) {
 	now := time.Now()
-	var c Keeper
-	refused := c.Take(now, named(0.5), 0)
+	var c Coordinator
+	refused := c.Acquire(now, named(0.5), 0)
 	assert.Assert(t, !refused.Granted && refused.Wait > 0)
-	assert.Assert(t, !c.Take(now.Add(refused.Wait-time.Millisecond), named(0.5), 0).Granted)
-	assert.Assert(t, c.Take(now.Add(refused.Wait+time.Millisecond), named(0.5), 0).Granted)
+	assert.Assert(t, !c.Acquire(now.Add(refused.Wait-time.Millisecond), named(0.5), 0).Granted)
+	assert.Assert(t, c.Acquire(now.Add(refused.Wait+time.Millisecond), named(0.5), 0).Granted)
 }
 
 // A send may be granted ahead of time with a delay; the number of such sends is bounded.
 func TestGrantsAheadAreBounded(t *testing.T) {
 	now := time.Now()
-	var c Keeper
-	first := c.Take(now, named(10), 150*time.Millisecond)
+	var c Coordinator
+	first := c.Acquire(now, named(10), 150*time.Millisecond)
 	assert.Assert(t, first.Granted && first.Wait == 100*time.Millisecond, "%v", first)
-	assert.Assert(t, !c.Take(now, named(10), 150*time.Millisecond).Granted, "the next send is 200 ms away")
+	assert.Assert(t, !c.Acquire(now, named(10), 150*time.Millisecond).Granted, "the next send is 200 ms away")
 	ahead := 0
 	for range 100 {
-		if c.Take(now, named(10), time.Hour).Granted {
+		if c.Acquire(now, named(10), time.Hour).Granted {
 			ahead++
 		}
 	}
@@ -60,40 +60,40 @@
 
 func TestUnusedSendsAreReturned(t *testing.T) {
 	now := time.Now()
-	var c Keeper
-	c.Take(now, named(0.5), 0)
+	var c Coordinator
+	c.Acquire(now, named(0.5), 0)
 	now = now.Add(2100 * time.Millisecond)
-	assert.Assert(t, c.Take(now, named(0.5), 0).Granted)
-	assert.Assert(t, !c.Take(now, named(0.5), 0).Granted)
-	c.Spent(now, named(0.5), -1)
-	assert.Assert(t, c.Take(now, named(0.5), 0).Granted)
+	assert.Assert(t, c.Acquire(now, named(0.5), 0).Granted)
+	assert.Assert(t, !c.Acquire(now, named(0.5), 0).Granted)
+	c.CountSends(now, named(0.5), -1)
+	assert.Assert(t, c.Acquire(now, named(0.5), 0).Granted)
 }
 
 func TestEndedLimitGrantsAllSends(t *testing.T) {
 	now := time.Now()
-	var c Keeper
+	var c Coordinator
 	old := named(0.5)
-	assert.Assert(t, !c.Take(now, old, 0).Granted)
+	assert.Assert(t, !c.Acquire(now, old, 0).Granted)
 	now = now.Add(time.Second)
-	c.Spent(now, Record{Ended: true, Instance: upstream}, 0)
+	c.CountSends(now, Record{Ended: true, Instance: upstream}, 0)
 	old.AgeMS = 1000
 	for range 10 {
-		assert.Assert(t, c.Take(now, old, 0).Granted, "the requesting process still has the old limit")
+		assert.Assert(t, c.Acquire(now, old, 0).Granted, "the requesting process still has the old limit")
 	}
 	now = now.Add(time.Second)
-	assert.Assert(t, !c.Take(now, named(0.5), 0).Granted, "the upstream names a limit again")
+	assert.Assert(t, !c.Acquire(now, named(0.5), 0).Granted, "the upstream names a limit again")
 }
 
 // Processes that can reach no other process grant one share of the limit each.
 func TestStandaloneCoordinatorsStayWithinLimit(t *testing.T) {
 	now := time.Now()
-	coordinators := make([]Keeper, 8)
+	coordinators := make([]Coordinator, 8)
 	granted := 0
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
 		for i := range coordinators {
-			coordinators[i].Parts = len(coordinators)
-			if coordinators[i].Take(now, named(1.4), 0).Granted {
+			coordinators[i].Shares = len(coordinators)
+			if coordinators[i].Acquire(now, named(1.4), 0).Granted {
 				granted++
 			}
 		}
@@ -105,7 +105,7 @@
 // limit. A coordinator may lose its state, or be unreachable for some of the processes for a while.
 // Each grant is reported to the other coordinator if that is reachable.
 type coordinatorSim struct {
-	coordinators [2]Keeper
+	coordinators [2]Coordinator
 	// reaches says which process reaches which coordinator.
 	reaches [][2]bool
 	sends   []time.Time
@@ -118,10 +118,10 @@
 		if !s.reaches[process][i] {
 			continue
 		}
-		if s.coordinators[i].Take(now, named(rate), 0).Granted {
+		if s.coordinators[i].Acquire(now, named(rate), 0).Granted {
 			s.sends = append(s.sends, now)
 			if s.reaches[process][1-i] {
-				s.coordinators[1-i].Spent(now, named(rate), 1)
+				s.coordinators[1-i].CountSends(now, named(rate), 1)
 			}
 		}
 		return
@@ -151,7 +151,7 @@
 				s.cut(r, r.IntN(2))
 			}
 			if r.IntN(800) == 0 {
-				s.coordinators[r.IntN(2)] = Keeper{}
+				s.coordinators[r.IntN(2)] = Coordinator{}
 			}
 			s.request(now, r.IntN(len(s.reaches)), rate)
 		}
--- a/throttle/gates.go
+++ b/throttle/gates.go
@@ -8,7 +8,7 @@
 
 const (
 	// MaxWait is how long a request may wait for a send to a limited upstream before it is refused.
-	Within = 200 * time.Millisecond
+	MaxWait = 200 * time.Millisecond
 	// minQueryInterval and maxQueryInterval bound the time between a refused query for a send to an
 	// upstream and the next query. The maximum is also the delay after which a process may learn
 	// that the limit has ended, or that another process has returned an unused send.
@@ -42,7 +42,7 @@
 // Check returns the time until a send to an upstream may be requested, and the upstream's penalty.
 // A limited upstream is avoided, except by the requests that check whether it still names its
 // limit. Both results are 0 for an upstream without a limit.
-func (g *Gates) Look(now time.Time, id sandbarrow.InstanceID) (wait, penalty time.Duration) {
+func (g *Gates) Check(now time.Time, id sandbarrow.InstanceID) (wait, penalty time.Duration) {
 	limit, limited := g.InForce(now, id)
 	if !limited {
 		return 0, 0
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -22,7 +22,7 @@
 //
 // Inputs: when the request was sent, the status of the response and the limit that it names, nil if
 // it names none.
-func LimitOf(now, sent time.Time, status int, named *sandbarrow.RequestRate) (Limit, bool) {
+func LimitFromResponse(now, sent time.Time, status int, named *sandbarrow.RequestRate) (Limit, bool) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		return Limit{}, false // the response is from another instance
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -77,7 +77,7 @@
 }
 
 // CountLimited counts the upstreams that name a limit.
-func (t *Table) Limited() int {
+func (t *Table) CountLimited() int {
 	n := 0
 	for _, e := range t.limits {
 		if !e.Ended {
--- a/throttle/table_test.go
+++ b/throttle/table_test.go
@@ -15,16 +15,16 @@
 	now := time.Now()
 	sent := now.Add(-time.Second)
 	for rate, want := range map[sandbarrow.RequestRate]Rate{1.4: 1.4, 0: 0, 1e9: maxRate} {
-		l, known := LimitOf(now, sent, http.StatusServiceUnavailable, &rate)
+		l, known := LimitFromResponse(now, sent, http.StatusServiceUnavailable, &rate)
 		assert.Assert(t, known)
 		assert.Equal(t, l, Limit{At: now, Rate: want})
-		_, known = LimitOf(now, sent, http.StatusMisdirectedRequest, &rate)
+		_, known = LimitFromResponse(now, sent, http.StatusMisdirectedRequest, &rate)
 		assert.Assert(t, !known, "response of another instance")
 	}
-	l, known := LimitOf(now, sent, http.StatusOK, nil)
+	l, known := LimitFromResponse(now, sent, http.StatusOK, nil)
 	assert.Assert(t, known)
 	assert.Equal(t, l, Limit{At: sent, Ended: true})
-	_, known = LimitOf(now, sent, http.StatusBadGateway, nil)
+	_, known = LimitFromResponse(now, sent, http.StatusBadGateway, nil)
 	assert.Assert(t, !known, "a failure without a limit")
 }
 
