--- a/sendkeepers/sendkeepers.go
+++ b/sendkeepers/sendkeepers.go
@@ -192,7 +192,7 @@
 
 // markSuspect records that a coordinator did not reply.
 func (c *Coordinators) markSuspect(suspect Coordinator, err error) {
-	c.config.Logger.Info("limit coordinator did not reply", "keeper", suspect.Name(), "error", err.Error())
+	c.config.Logger.Info("keeper of upstreams' limits did not answer", "keeper", suspect.Name(), "error", err.Error())
 	now := boottime.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
