--- a/gateway/blocked.go
+++ b/gateway/blocked.go
@@ -8,68 +8,74 @@
 )
 
 const (
-	// mostSpread bounds the time over which callers are spread that wait for limited upstreams.
-	mostSpread = time.Second
-	// leastReturn is the least time after which a caller is told to come back.
-	leastReturn = 20 * time.Millisecond
+	// maxRetrySpread bounds the random part of Retry-After for callers that wait for blocked
+	// upstreams.
+	maxRetrySpread = time.Second
+	// minRetryAfter is the shortest time after which a caller is told to retry.
+	minRetryAfter = 20 * time.Millisecond
 )
 
-// blockedUpstreams is what a call has seen of upstreams that accept no request now.
+// blockedUpstreams collects what a call has found out about upstreams that currently accept no
+// requests.
 type blockedUpstreams struct {
-	// accepts is when the first of them accepts one; zero where none says so. why is what keeps
-	// that one until then.
-	accepts time.Time
-	why     availability.Reason
-	// open says that the last choice has met one that accepts requests, whether the call had
-	// been there before or not.
-	open bool
-	// draining says that the last choice has met an upstream that drains, rest that it has met
-	// one that does not.
-	draining, rest bool
-	// others says that the last choice has met one that accepts requests and names no limit.
-	others bool
+	// acceptsAt is the earliest time at which one of them accepts a request; zero if that is
+	// unknown for all of them. why is what blocks that one until then.
+	acceptsAt time.Time
+	why       availability.Reason
+	// anyAccepting is set if the last choice found an upstream that accepts requests, whether
+	// the call has already tried it or not.
+	anyAccepting bool
+	// anyDraining is set if the last choice found an upstream that drains, anyNotDraining if it
+	// found one that does not.
+	anyDraining, anyNotDraining bool
+	// anyUnlimited is set if the last choice found an untried upstream that accepts requests and
+	// names no limit.
+	anyUnlimited bool
 }
 
-// choose begins a new choice.
-func (b *blockedUpstreams) choose() {
-	b.draining, b.open, b.others, b.rest = false, false, false, false
+// reset prepares for a new choice.
+func (b *blockedUpstreams) reset() {
+	b.anyDraining, b.anyAccepting, b.anyUnlimited, b.anyNotDraining = false, false, false, false
 }
 
-// note notes a look at an upstream; excluded says that the call does not choose it again.
-func (b *blockedUpstreams) note(now time.Time, l *availability.Look, excluded bool) {
+// record applies the result of a check of an upstream. excluded is set if the call does not
+// choose it again.
+func (b *blockedUpstreams) record(now time.Time, l *availability.Look, excluded bool) {
 	if l.Wait > 0 {
-		b.noteFree(now.Add(l.Wait), l.Blocked)
+		b.recordAcceptTime(now.Add(l.Wait), l.Blocked)
 	}
 	if l.Blocked == availability.Draining {
-		b.draining = true
+		b.anyDraining = true
 		return
 	}
-	b.rest = true
+	b.anyNotDraining = true
 	if l.Blocked != "" {
 		return
 	}
-	b.open = true
+	b.anyAccepting = true
 	if !l.Limited && !excluded {
-		b.others = true
+		b.anyUnlimited = true
 	}
 }
 
-// noteFree notes when an upstream accepts a request, and what keeps it until then.
-func (b *blockedUpstreams) noteFree(at time.Time, why availability.Reason) {
-	if b.accepts.IsZero() || at.Before(b.accepts) {
-		b.accepts, b.why = at, why
+// recordAcceptTime applies the time at which an upstream accepts a request again, and the
+// reason that blocks it until then.
+func (b *blockedUpstreams) recordAcceptTime(at time.Time, why availability.Reason) {
+	if b.acceptsAt.IsZero() || at.Before(b.acceptsAt) {
+		b.acceptsAt, b.why = at, why
 	}
 }
 
-// decisive reports whether it is no use to wait for an upstream to appear: one accepts a request
-// at a time that is known, or all drain.
-func (b *blockedUpstreams) decisive() bool {
-	return !b.accepts.IsZero() || b.draining && !b.rest
+// waitIsFutile reports whether the call should not wait for an upstream to appear. This is so if
+// the time at which one accepts requests again is known, or if all of them drain.
+func (b *blockedUpstreams) waitIsFutile() bool {
+	return !b.acceptsAt.IsZero() || b.anyDraining && !b.anyNotDraining
 }
 
-// retryAfter is when the caller is told to come back: not before an upstream takes a request,
-// and spread, since one of those that come then is served.
+// retryAfter returns the time after which the caller should retry: not before an upstream accepts
+// a request, plus a random part. Without it all callers would retry at once, and the upstream
+// would accept only one of them.
 func (b *blockedUpstreams) retryAfter(now time.Time) time.Duration {
-	wait := max(b.accepts.Sub(now), leastReturn)
-	return wait + rand.N(min(max(wait, retryAfter), mostSpread))
+	wait := max(b.acceptsAt.Sub(now), minRetryAfter)
+	return wait + rand.N(min(max(wait, retryAfter), maxRetrySpread))
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -143,6 +143,6 @@
 			}
 			return nil
 		}
-		pause.For(ctx, lookPause)
+		pause.For(ctx, pollInterval)
 	}
 }
--- a/gateway/callend.go
+++ b/gateway/callend.go
@@ -72,7 +72,7 @@
 
 // giveUp ends a call that has no answer.
 func (c *call) giveUp(ctx context.Context, why reason) {
-	late := c.left() <= leastSend
+	late := c.left() <= minSendTime
 	if c.request.Context().Err() != nil {
 		c.finish(0, reasonLeft)
 		panic(http.ErrAbortHandler) // nobody reads an answer
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -231,8 +231,8 @@
 	h.Set(names.Deadline, strconv.FormatInt(max(1, (c.left()+c.callerEnds.Sub(c.ends)).Milliseconds()), 10))
 	h.Set(names.ExpectInstance, string(in.ID.Listed()))
 	if c.service.Engine != nil {
-		if c.chosen != nil && c.chosen.move.from() != "" {
-			h.Set(names.MoveFrom, c.chosen.move.from())
+		if c.chosen != nil && c.chosen.move.sourceAddress() != "" {
+			h.Set(names.MoveFrom, c.chosen.move.sourceAddress())
 		}
 		h.Set(names.Priority, strconv.Itoa(c.enginePriority()))
 	}
--- a/gateway/calllog.go
+++ b/gateway/calllog.go
@@ -97,7 +97,7 @@
 		return nil
 	}
 	attrs := []slog.Attr{
-		slog.Bool("linked", e.linked), slog.Bool("held", e.held), slog.Int("free", e.status.Free), slog.Int("running", e.status.Running),
+		slog.Bool("linked", e.linked), slog.Bool("held", e.loadedOrLoading), slog.Int("free", e.status.Free), slog.Int("running", e.status.Running),
 		slog.Int("kept_tokens", e.kept), slog.Int("waiting_tokens", e.waitingTokens), slog.Int64("cost_ms", e.cost.Milliseconds()),
 		slog.Float64("token_us", float64(e.speed().PerToken)/float64(time.Microsecond)), slog.Int64("base_ms", e.speed().Base.Milliseconds()),
 		slog.Int64("status_age_ms", e.link.age().Milliseconds()), slog.Uint64("granted_version", uint64(e.granted.Adapter)),
@@ -113,7 +113,7 @@
 		return nil
 	case moveSent:
 		return []slog.Attr{
-			slog.String("move", string(m.outcome)), slog.String("moved_from", m.from()),
+			slog.String("move", string(m.outcome)), slog.String("moved_from", m.sourceAddress()),
 			slog.String("moved_from_upstream", string(m.source.instance.ID)), slog.Int("moved_tokens", m.tokens),
 		}
 	}
--- a/gateway/callsend.go
+++ b/gateway/callsend.go
@@ -21,7 +21,7 @@
 // excluded ones are those that the call does not choose again.
 func (c *call) look(now time.Time, in *sandbarrow.Instance, r availability.Report, excluded map[sandbarrow.InstanceID]bool) (l availability.Look, may bool) {
 	l = c.gateway.upstreams.look(now, in, r)
-	c.blocked.note(now, &l, excluded[in.ID])
+	c.blocked.record(now, &l, excluded[in.ID])
 	return l, l.Blocked == "" && !excluded[in.ID]
 }
 
@@ -29,14 +29,14 @@
 // another one; it waits for its turn only where all upstreams name a limit.
 func (c *call) permitSend(ctx context.Context, in *sandbarrow.Instance) (*sendPermit, bool) {
 	within := min(throttle.Within, c.left()/sendWithinParts)
-	if c.blocked.others {
+	if c.blocked.anyUnlimited {
 		within = 0
 	}
 	permit, granted := c.gateway.permits.acquire(ctx, in, within)
 	if !granted {
 		now := boottime.Now()
 		l := c.gateway.upstreams.look(now, in, availability.Report{})
-		c.blocked.noteFree(now.Add(l.Wait), availability.Limited)
+		c.blocked.recordAcceptTime(now.Add(l.Wait), availability.Limited)
 	}
 	return permit, granted
 }
@@ -76,7 +76,7 @@
 func (c *call) unserved(why reason) reason {
 	b := &c.blocked
 	switch {
-	case b.accepts.IsZero(), why != reasonNoUpstream && why != reasonRefused, why == reasonRefused && b.open:
+	case b.acceptsAt.IsZero(), why != reasonNoUpstream && why != reasonRefused, why == reasonRefused && b.anyAccepting:
 		return why
 	case b.why == availability.Backoff:
 		return reasonUpstreamBackoff
--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -11,50 +11,51 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-// candidate is one engine that accepts new work: what was seen of it at one moment,
-// and what appraise concludes from that for one request.
+// candidate is a snapshot of one engine that accepts new work, with the estimates that
+// estimateCost derives from it for one request.
 type candidate struct {
 	instance *sandbarrow.Instance
 	link     *controllerLink
 	linkView
-	// remote says that the engine is in another failure domain.
+	// remote is set if the engine is in another failure domain.
 	remote bool
-	// inFlight counts this gateway's requests there.
+	// inFlight is the number of this gateway's requests in flight at the engine.
 	inFlight int
 
-	// held says that the engine has what the request needs, or loads it.
-	held bool
-	// full says that the adapter would wait for a slot to come free.
-	full bool
-	// granted are the versions of the weights that its controller granted.
+	// loadedOrLoading is set if the engine has loaded, or is loading, the weights that the
+	// request needs.
+	loadedOrLoading bool
+	// waitsForSlot is set if the adapter would have to wait for a free slot.
+	waitsForSlot bool
+	// granted are the versions of the weights that the engine's controller granted.
 	granted sandbarrow.WeightsVersion
-	// move is what the engine takes of the prompt from another one.
+	// move is the part of the prompt cache that the engine copies from another engine.
 	move promptMove
-	// late says that the answer is expected to miss its objective.
+	// late is set if the response is expected to miss its objective.
 	late bool
-	// cost is the expected delay with all prices; before appraise the penalty for
-	// recent failures, and the price of an engine that names a limit.
+	// cost is the expected delay including all penalties. Before estimateCost it holds only
+	// the penalties for recent failures and for an upstream that names a limit.
 	cost time.Duration
-	// spareTokens is how many more prompt tokens may wait here before another engine
-	// is the better choice; 0 where there is no other.
+	// spareTokens is how many more prompt tokens may wait at this engine before another one
+	// is the better choice; 0 if there is no other.
 	spareTokens int
 }
 
-// candidates keeps the lists of choices that are done.
-var candidates = sync.Pool{New: func() any { return new([]candidate) }}
+// candidatePool recycles the candidate lists of finished choices.
+var candidatePool = sync.Pool{New: func() any { return new([]candidate) }}
 
-// eligible appends the engines that accept new work to list, as they are now. It begins
-// with any of them: of engines that cost the same the first is chosen, and gateways that
-// know the same must not all choose the same one.
+// eligible appends a snapshot of each engine that accepts new work to list. It starts at a
+// random engine: of engines with equal cost the first is chosen, and gateways with the same
+// state must not all choose the same one.
 func (g *Gateway) eligible(c *call, now time.Time, excluded map[sandbarrow.InstanceID]bool, list []candidate) []candidate {
-	c.blocked.choose()
+	c.blocked.reset()
 	members := g.engines.members(c.service.ID)
 	first := rand.IntN(max(1, len(members)))
 	for i := range members {
 		m := &members[(first+i)%len(members)]
 		e := candidate{instance: m.instance, link: m.link, linkView: m.link.view(now, c)}
-		look, may := c.look(now, m.instance, e.report(), excluded)
-		if !may {
+		look, allowed := c.look(now, m.instance, e.report(), excluded)
+		if !allowed {
 			continue
 		}
 		e.remote = m.instance.FailureDomain != g.config.Domain
@@ -64,10 +65,11 @@
 	return list
 }
 
-// holds reports whether the engine has what the request needs, or loads it.
-func (e *candidate) holds(n *need) bool {
+// isLoadedOrLoading reports whether the engine has loaded, or is loading, the weights that
+// the request needs.
+func (e *candidate) isLoadedOrLoading(n *requirements) bool {
 	if !e.linked {
-		return holdsModel(e.instance.Models, n) || e.recallable
+		return listedAsLoaded(e.instance.Models, n) || e.recallable
 	}
 	if n.key.Adapter == "" {
 		return slices.Contains(e.status.Models, n.key.Model)
@@ -76,9 +78,9 @@
 	return slot != nil && slot.Version >= n.version
 }
 
-// holdsModel reports whether an engine that is listed with these models holds what
+// listedAsLoaded reports whether the models listed for an engine include the weights that
 // the request needs.
-func holdsModel(models []sandbarrow.LoadedModel, n *need) bool {
+func listedAsLoaded(models []sandbarrow.LoadedModel, n *requirements) bool {
 	for _, m := range models {
 		if m.Model != n.key.Model {
 			continue
@@ -95,7 +97,8 @@
 	return false
 }
 
-// unread is how much of a prompt of so many tokens the engine has to read.
+// unread returns how many of a prompt's tokens the engine has to prefill. A nil
+// candidate has none of them cached.
 func (e *candidate) unread(tokens int) int {
 	if e == nil {
 		return tokens
@@ -103,8 +106,8 @@
 	return max(0, tokens-e.kept-e.move.tokens)
 }
 
-// speed is how fast the engine reads prompts, as its controller estimates it; nil is
-// any engine.
+// speed returns the engine's prefill speed as its controller estimates it. A nil candidate
+// has the default speed.
 func (e *candidate) speed() readspeed.Speed {
 	if e == nil {
 		return readspeed.Prior
@@ -112,7 +115,7 @@
 	return statusSpeed(&e.status)
 }
 
-// statusSpeed is the speed of a status, or what is assumed where there is none.
+// statusSpeed returns the prefill speed in a status, or the default if it has none.
 func statusSpeed(s *enginelink.Status) readspeed.Speed {
 	if s.Speed.PerToken <= 0 {
 		return readspeed.Prior
@@ -120,9 +123,9 @@
 	return s.Speed
 }
 
-// mostWaitingTokens is up to how many waiting prompt tokens this engine is the best
-// choice; 0 in any case.
-func (e *candidate) mostWaitingTokens() int {
+// maxWaitingTokens returns the number of waiting prompt tokens up to which this engine is
+// the best choice; 0 if there is no bound.
+func (e *candidate) maxWaitingTokens() int {
 	if e.spareTokens == 0 {
 		return 0
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -9,30 +9,30 @@
 	"sandbarrow.example/sandbarrow/loadtime"
 )
 
-// need is what the choice of an engine depends on, of one request.
-type need struct {
+// requirements are the properties of a request that the choice of an engine depends on.
+type requirements struct {
 	key     sandbarrow.AdapterKey
 	version sandbarrow.AdapterVersion
 	// tokens is the length of the prompt.
 	tokens int
-	// movePerToken is the time to move one kept token between engines, 0 where that
-	// can't be done.
+	// movePerToken is the time to move one cached token between engines; 0 if engines can't
+	// move cached prompts.
 	movePerToken time.Duration
-	// untilObjective is how much time is left for an answer that meets its objective.
+	// untilObjective is the time left for a response that meets the route's objective.
 	untilObjective time.Duration
-	// loads returns what is known of the weight store, for so many loads under way.
+	// loads returns the load-time model for the given number of loads in progress.
 	loads func(underWay int) loadtime.Model
 }
 
-// chooseEngine returns the engine with the least expected delay, or nil. It takes
-// one look at each engine that accepts work and leaves the choice to cheapest.
+// chooseEngine returns the engine with the lowest expected delay, or nil. It takes one
+// snapshot of each engine that accepts work and passes the snapshots to cheapest.
 func (g *Gateway) chooseEngine(c *call, excluded map[sandbarrow.InstanceID]bool) *candidate {
-	scratch := candidates.Get().(*[]candidate)
-	defer candidates.Put(scratch)
+	scratch := candidatePool.Get().(*[]candidate)
+	defer candidatePool.Put(scratch)
 	now := boottime.Now()
 	list := g.eligible(c, now, excluded, (*scratch)[:0])
 	*scratch = list
-	n := need{key: c.key, version: c.version, tokens: c.tokens, loads: g.loadTimes.Choice, movePerToken: c.service.Engine.MovePerToken, untilObjective: c.untilObjective()}
+	n := requirements{key: c.key, version: c.version, tokens: c.tokens, loads: g.loadTimes.Choice, movePerToken: c.service.Engine.MovePerToken, untilObjective: c.untilObjective()}
 	best, ok := cheapest(list, &n)
 	if !ok {
 		return nil
@@ -41,22 +41,22 @@
 	return &chosen
 }
 
-// cheapest decides which engine gets a request, for the gateway that asks its
-// controller next. It appraises all candidates and returns the index of the one of
-// least cost; false where none can serve the request.
+// cheapest decides which engine gets a request. It estimates the cost of all candidates
+// and returns the index of the cheapest one, or false if none can serve the request. The
+// gateway then acquires the adapter from the controller of that engine.
 //
-// Inputs: the engines as they were seen at one moment (a status is at most half a
-// second old, else the engine counts as not linked) and the need of the request.
-// The cost is the delay until the first event that each engine is expected to
-// cause, with prices for what the choice costs others, in the same unit.
-// The chosen engine also gets the prompt tokens that may wait there before the
-// second best is as good, which its controller checks against its own count.
-func cheapest(list []candidate, n *need) (int, bool) {
-	f := surveyFleet(list, n)
+// Inputs: a snapshot of the engines and the requirements of the request. A status is at
+// most half a second old; an engine with an older one counts as not linked. The cost is
+// the expected delay until the first event, plus penalties in the same unit for what the
+// choice costs other requests. cheapest also sets spareTokens of the chosen engine: the
+// number of prompt tokens that may wait there before the second best engine is as good.
+// The engine's controller checks this limit against its own count.
+func cheapest(list []candidate, n *requirements) (int, bool) {
+	f := collectFleetStats(list, n)
 	best, second := -1, time.Duration(math.MaxInt64)
 	for i := range list {
 		e := &list[i]
-		if !e.appraise(n, &f) {
+		if !e.estimateCost(n, &f) {
 			continue
 		}
 		switch {
@@ -72,16 +72,16 @@
 		return 0, false
 	}
 	if second < math.MaxInt64 {
-		list[best].spareTokens = spareLeast + int((second-list[best].cost)/list[best].speed().PerToken)
+		list[best].spareTokens = minSpareTokens + int((second-list[best].cost)/list[best].speed().PerToken)
 	}
 	return best, true
 }
 
-// noObjective stands in where a route names no objective: longer than any request is
-// held, short enough to be added to a time.
+// noObjective is used if a route has no objective. It is longer than any request takes and
+// short enough to be added to a time without overflow.
 const noObjective = time.Hour
 
-// untilObjective is the part of the objective that is left for an answer.
+// untilObjective returns the part of the objective that is left for a response.
 func (c *call) untilObjective() time.Duration {
 	if c.route.Objective <= 0 {
 		return noObjective
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -16,8 +16,8 @@
 	"sandbarrow.example/sandbarrow/route"
 )
 
-// chooserOf returns a gateway that believes what the statuses say, one engine each.
-func chooserOf(t testing.TB, statuses ...enginelink.Status) *Gateway {
+// newChoosingGateway returns a gateway with one engine for each status.
+func newChoosingGateway(t testing.TB, statuses ...enginelink.Status) *Gateway {
 	t.Helper()
 	g := newLoneGateway()
 	g.logger = slog.New(slog.DiscardHandler)
@@ -40,11 +40,11 @@
 	}}
 }
 
-func loaded(adapter string) []enginelink.SlotStatus {
+func loadedSlots(adapter string) []enginelink.SlotStatus {
 	return []enginelink.SlotStatus{{Adapter: sandbarrow.AdapterID(adapter), Model: testModel, State: enginelink.SlotLoaded, Version: 1}}
 }
 
-func loading(n int) []enginelink.SlotStatus {
+func loadingSlots(n int) []enginelink.SlotStatus {
 	var slots []enginelink.SlotStatus
 	for i := range n {
 		slots = append(slots, enginelink.SlotStatus{Adapter: sandbarrow.AdapterID(fmt.Sprintf("l%d", i)), Model: testModel, State: enginelink.SlotLoading})
@@ -55,34 +55,34 @@
 func TestChooseEngine(t *testing.T) {
 	busy := make([]enginelink.Status, 20)
 	for i := range busy {
-		busy[i] = enginelink.Status{Free: 2, Slots: loading(4)}
+		busy[i] = enginelink.Status{Free: 2, Slots: loadingSlots(4)}
 	}
 	for name, tc := range map[string]struct {
 		statuses []enginelink.Status
 		want     func(i int) bool
 	}{
 		"where it is loaded": {
-			[]enginelink.Status{{Free: 6}, {Free: 5, Slots: loaded("a")}, {Free: 6}}, func(i int) bool { return i == 1 },
+			[]enginelink.Status{{Free: 6}, {Free: 5, Slots: loadedSlots("a")}, {Free: 6}}, func(i int) bool { return i == 1 },
 		},
-		"where it is loaded, though more waits there": {
-			[]enginelink.Status{{Free: 6}, {Free: 5, Slots: loaded("a"), WaitingTokens: 6000}}, func(i int) bool { return i == 1 },
+		"where it is loaded, though more prompt tokens wait there": {
+			[]enginelink.Status{{Free: 6}, {Free: 5, Slots: loadedSlots("a"), WaitingTokens: 6000}}, func(i int) bool { return i == 1 },
 		},
-		"elsewhere when it would be late there": {
-			[]enginelink.Status{{Free: 6}, {Free: 5, Slots: loaded("a"), WaitingTokens: 30000}}, func(i int) bool { return i == 0 },
+		"another engine if the response would be late there": {
+			[]enginelink.Status{{Free: 6}, {Free: 5, Slots: loadedSlots("a"), WaitingTokens: 30000}}, func(i int) bool { return i == 0 },
 		},
 		"where a slot is free": {
 			[]enginelink.Status{{Free: 0}, {Free: -2}, {Free: 1}}, func(i int) bool { return i == 2 },
 		},
-		"not where the engine is silent or leaves": {
-			[]enginelink.Status{{Free: 5, EngineUnreachable: true, Slots: loaded("a")}, {Free: 5, Draining: true, Slots: loaded("a")}, {Free: 0}},
+		"not an unreachable or draining engine": {
+			[]enginelink.Status{{Free: 5, EngineUnreachable: true, Slots: loadedSlots("a")}, {Free: 5, Draining: true, Slots: loadedSlots("a")}, {Free: 0}},
 			func(i int) bool { return i == 2 },
 		},
-		"a copy elsewhere though all engines load": {
-			append([]enginelink.Status{{Free: 5, Slots: loaded("a"), WaitingTokens: 125_000}}, busy...), func(i int) bool { return i != 0 },
+		"another copy though all other engines load": {
+			append([]enginelink.Status{{Free: 5, Slots: loadedSlots("a"), WaitingTokens: 125_000}}, busy...), func(i int) bool { return i != 0 },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := chooserOf(t, tc.statuses...)
+			g := newChoosingGateway(t, tc.statuses...)
 			e := g.chooseEngine(callFor(g, "a", 2000), nil)
 			assert.Assert(t, e != nil)
 			var i int
@@ -93,15 +93,15 @@
 	}
 }
 
-func TestLoadsThatAreNotSlowedAreNoContention(t *testing.T) {
-	statuses := []enginelink.Status{{Free: 5, Slots: loaded("a"), WaitingTokens: 25_000}}
+func TestUnslowedLoadsAreNotCountedAsContention(t *testing.T) {
+	statuses := []enginelink.Status{{Free: 5, Slots: loadedSlots("a"), WaitingTokens: 25_000}}
 	for range 20 {
-		statuses = append(statuses, enginelink.Status{Free: 2, Slots: loading(3)})
+		statuses = append(statuses, enginelink.Status{Free: 2, Slots: loadingSlots(3)})
 	}
-	g := chooserOf(t, statuses...)
+	g := newChoosingGateway(t, statuses...)
 	c := callFor(g, "a", 2000)
 	e := g.chooseEngine(c, nil)
-	assert.Equal(t, e.instance.ID, sandbarrow.InstanceID("e0"), "60 loads are contention as long as none was seen")
+	assert.Equal(t, e.instance.ID, sandbarrow.InstanceID("e0"), "60 loads count as contention before any load has finished")
 	var last enginelink.Loads
 	for n := range 10 {
 		now := enginelink.Loads{Count: uint64(n + 1), TookMS: 260}
@@ -112,17 +112,17 @@
 	assert.Assert(t, e.instance.ID != "e0")
 }
 
-// An engine that has restarted is not chosen while the list names the instance before.
-func TestOldInstanceIsNotChosen(t *testing.T) {
-	g := chooserOf(t, enginelink.Status{Free: 6, Instance: "restarted"}, enginelink.Status{Free: 0, Instance: "e1"})
+// A restarted engine is not chosen while the list still names its previous instance.
+func TestRestartedEngineIsNotChosenAsOldInstance(t *testing.T) {
+	g := newChoosingGateway(t, enginelink.Status{Free: 6, Instance: "restarted"}, enginelink.Status{Free: 0, Instance: "e1"})
 	for range 20 {
 		assert.Equal(t, g.chooseEngine(callFor(g, "a", 2000), nil).instance.ID, sandbarrow.InstanceID("e1"))
 	}
 }
 
-// Gateways that see the same do not all choose the same one of equal engines.
-func TestEqualEnginesShareRequests(t *testing.T) {
-	g := chooserOf(t, make([]enginelink.Status, 10)...)
+// Gateways with the same state must not all choose the same one of several equal engines.
+func TestEqualEnginesGetEqualShares(t *testing.T) {
+	g := newChoosingGateway(t, make([]enginelink.Status, 10)...)
 	chosen := map[sandbarrow.InstanceID]int{}
 	for range 400 {
 		chosen[g.chooseEngine(callFor(g, "", 2000), nil).instance.ID]++
@@ -133,24 +133,24 @@
 	}
 }
 
-func TestFullAndLate(t *testing.T) {
-	g := chooserOf(t, enginelink.Status{Free: 0}, enginelink.Status{Free: -1})
+func TestChoiceReportsSlotWaitAndLateness(t *testing.T) {
+	g := newChoosingGateway(t, enginelink.Status{Free: 0}, enginelink.Status{Free: -1})
 	e := g.chooseEngine(callFor(g, "a", 2000), nil)
-	assert.Assert(t, e.full && e.late)
-	g = chooserOf(t, enginelink.Status{Free: 1, WaitingTokens: 30000})
+	assert.Assert(t, e.waitsForSlot && e.late)
+	g = newChoosingGateway(t, enginelink.Status{Free: 1, WaitingTokens: 30000})
 	e = g.chooseEngine(callFor(g, "a", 2000), nil)
-	assert.Assert(t, e.late && !e.full)
+	assert.Assert(t, e.late && !e.waitsForSlot)
 }
 
 func BenchmarkChooseEngineForPrompt(b *testing.B) {
 	statuses := make([]enginelink.Status, 160)
 	for i := range statuses {
-		statuses[i] = enginelink.Status{Free: 1, ModelVersions: []sandbarrow.ModelVersion{1}, Slots: loading(7)}
+		statuses[i] = enginelink.Status{Free: 1, ModelVersions: []sandbarrow.ModelVersion{1}, Slots: loadingSlots(7)}
 		if i%8 == 0 {
-			statuses[i].Slots = append(statuses[i].Slots, loaded("a")...)
+			statuses[i].Slots = append(statuses[i].Slots, loadedSlots("a")...)
 		}
 	}
-	g := chooserOf(b, statuses...)
+	g := newChoosingGateway(b, statuses...)
 	c := callFor(g, "a", 9000)
 	c.service.Engine.MovePerToken = time.Microsecond
 	c.stretches = promptcache.Stretches(c.key, "1:1000,2:2000,3:2000,4:2000,5:2000")
@@ -172,9 +172,9 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			statuses := make([]enginelink.Status, n)
 			for i := range statuses {
-				statuses[i] = enginelink.Status{Free: 3, Slots: loading(3)}
+				statuses[i] = enginelink.Status{Free: 3, Slots: loadingSlots(3)}
 			}
-			g := chooserOf(b, statuses...)
+			g := newChoosingGateway(b, statuses...)
 			c := callFor(g, "a", 2000)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/gateway/enginecost.go
+++ b/gateway/enginecost.go
@@ -10,89 +10,90 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-// This file is the cost of an engine for a request: one sum of expected delays and
-// of prices in the same unit. It holds the constants of the choice and the pure
+// This file computes the cost of an engine for a request: the sum of expected delays and
+// of penalties in the same unit. It holds the constants of the choice and the pure
 // functions that use them; choose.go compares the costs.
 
-// Properties of the engines, as time. How fast an
-// engine reads is learnt (package readspeed), how long a load takes too (loadmodel.go).
+// Delays that engines cause. The prefill speed is estimated at run time (package readspeed),
+// and so is the time of a load (package loadtime).
 const (
-	// runningDelay is what each running request slows another.
+	// runningDelay is the delay that each running request adds to another one.
 	runningDelay = 3 * time.Millisecond
 	// recallDelay is the time to load an adapter from the engine's own memory: 0.03 s
-	// (docs/design/platform.md), with the order.
+	// (docs/design/platform.md) plus the time of the order.
 	recallDelay = 40 * time.Millisecond
-	// replaceDelay is the time until the runs on an older version have ended.
+	// replaceDelay is the time until the requests that run on an older version have finished.
 	replaceDelay = 900 * time.Millisecond
-	// slotDelay is the time until one slot comes free.
-	slotDelay = 600 * time.Millisecond
+	// slotWait is the time until one slot becomes free.
+	slotWait = 600 * time.Millisecond
 )
 
-// Prices: what a choice costs others or the operators, as the delay that is worth
-// as much.
+// Penalties: what a choice costs other requests or the operators, expressed as a delay of
+// equal value.
 const (
-	// copyDelay is the price of another copy of an adapter that another engine has: its
-	// slot and its share of the weight store.
-	copyDelay = 500 * time.Millisecond
-	// mostContention bounds how much contention at the weight store raises copyDelay: an
-	// engine that has many requests behind it needs a copy all the same, as after a loss of power.
-	mostContention = 2
-	// lateDelay is the price of an answer that is expected to miss its objective: as much
-	// as it loses.
-	lateDelay = 900 * time.Millisecond
-	// lateShare is the share of the objective that an expected answer may take. The rest is
-	// for what the estimate leaves out.
+	// copyPenalty is for loading another copy of an adapter that some engine already has. It
+	// stands for the slot and for the bandwidth of the weight store that the copy uses.
+	copyPenalty = 500 * time.Millisecond
+	// maxContentionFactor bounds the factor by which contention at the weight store raises
+	// copyPenalty. If many requests wait at an engine, their adapter needs a second copy even
+	// under contention, as after a power loss.
+	maxContentionFactor = 2
+	// latePenalty is for a response that is expected to miss its objective. It equals the
+	// value that a late response loses.
+	latePenalty = 900 * time.Millisecond
+	// lateShare is the share of the objective that the estimated response time may use. The
+	// rest is reserved for delays that the estimate leaves out.
 	lateShare = 0.85
-	// domainDelay is the price of another failure domain: 4 ms on the way, and bytes of a
-	// stream that are worth 11 ms at the users' prices.
-	domainDelay = 12 * time.Millisecond
-	// blindDelay is the price of not knowing what an engine does whose controller is not linked.
-	blindDelay = 250 * time.Millisecond
-	// blindRunningFactor: without a status only this gateway's own requests are known; each stands
-	// for so many.
-	blindRunningFactor = 3
+	// crossDomainPenalty is for an engine in another failure domain: 4 ms on the network,
+	// and traffic of a stream that is worth 11 ms at the users' prices.
+	crossDomainPenalty = 12 * time.Millisecond
+	// unlinkedPenalty is for an engine whose controller is not linked, as its load is unknown.
+	unlinkedPenalty = 250 * time.Millisecond
+	// unlinkedRunningFactor estimates the running requests of an engine without a status. Only
+	// this gateway's own requests are known then, and each counts as this many.
+	unlinkedRunningFactor = 3
 )
 
-// spareLeast is how many more prompt tokens may always wait at a chosen engine than were
-// known: another choice takes its time too.
-const spareLeast = 1500
+// minSpareTokens is how many prompt tokens beyond the known ones may always wait at a chosen
+// engine, because choosing again takes time too.
+const minSpareTokens = 1500
 
-// fleetSurvey is what a choice knows of all candidates together.
-type fleetSurvey struct {
-	// copyDelay is the price of another copy of the adapter now.
-	copyDelay time.Duration
-	// loadDelay is the time of a load with those under way now.
+// fleetStats summarizes all candidates of a choice.
+type fleetStats struct {
+	// copyPenalty is the current penalty for another copy of the adapter.
+	copyPenalty time.Duration
+	// loadDelay is the time of a load, given the loads in progress.
 	loadDelay time.Duration
-	// speed is that of a typical engine.
+	// speed is the prefill speed of a typical engine.
 	speed readspeed.Speed
-	// newest is the newest version of the adapter that an engine holds.
-	newest sandbarrow.AdapterVersion
-	// sources are where most of the prompt is kept.
-	sources keptSources
+	// newestVersion is the newest version of the adapter that an engine has loaded.
+	newestVersion sandbarrow.AdapterVersion
+	// sources are the engines with the longest cached prefix of the prompt.
+	sources cachedSources
 }
 
-// surveyFleet finds which candidates hold the adapter, and what a load takes now.
-func surveyFleet(list []candidate, n *need) fleetSurvey {
+// collectFleetStats determines which candidates have the adapter and how long a load takes.
+func collectFleetStats(list []candidate, n *requirements) fleetStats {
 	copies := 0
 	loading := 0
 	for i := range list {
 		e := &list[i]
-		e.held = e.holds(n)
-		e.recallable = e.recallable && e.linked && !e.held
-		if e.held || e.recallable {
+		e.loadedOrLoading = e.isLoadedOrLoading(n)
+		e.recallable = e.recallable && e.linked && !e.loadedOrLoading
+		if e.loadedOrLoading || e.recallable {
 			copies++
 		}
 		if e.linked {
 			loading += e.loadsUnderWay()
 		}
 	}
-	f := surveyOf(copies, loading, n.loads(loading))
-	f.newest, f.sources, f.speed = newestHeld(list), sourcesOf(list, n), typicalSpeed(list)
+	f := newFleetStats(copies, loading, n.loads(loading))
+	f.newestVersion, f.sources, f.speed = newestLoadedVersion(list), findSources(list, n), typicalSpeed(list)
 	return f
 }
 
-// newestHeld is the newest version of the adapter that a linked engine has loaded.
-func newestHeld(list []candidate) sandbarrow.AdapterVersion {
+// newestLoadedVersion returns the newest version of the adapter that a linked engine has loaded.
+func newestLoadedVersion(list []candidate) sandbarrow.AdapterVersion {
 	newest := sandbarrow.AdapterVersion(0)
 	for i := range list {
 		newest = max(newest, list[i].weights.Adapter)
@@ -100,7 +101,7 @@
 	return newest
 }
 
-// typicalSpeed is the mean speed of the engines whose controllers are linked.
+// typicalSpeed returns the mean prefill speed of the engines whose controllers are linked.
 func typicalSpeed(list []candidate) readspeed.Speed {
 	var mean readspeed.Mean
 	for i := range list {
@@ -111,19 +112,19 @@
 	return mean.Speed()
 }
 
-// surveyOf prices a load and a copy.
+// newFleetStats estimates the load time and the penalty for a copy.
 //
-// Inputs: the engines that hold the adapter or can recall it, the loads under way at all
-// engines that were seen, and what loads have shown of the weight store.
-func surveyOf(copies, loading int, m loadtime.Model) fleetSurvey {
-	f := fleetSurvey{loadDelay: m.Delay(loading)}
+// Inputs: the number of engines that have the adapter or can recall it, the number of loads
+// in progress at all linked engines, and the load-time model of the weight store.
+func newFleetStats(copies, loading int, m loadtime.Model) fleetStats {
+	f := fleetStats{loadDelay: m.Delay(loading)}
 	if copies > 0 {
-		f.copyDelay = time.Duration(float64(copyDelay) * min(m.Slowdown(loading), mostContention))
+		f.copyPenalty = time.Duration(float64(copyPenalty) * min(m.Slowdown(loading), maxContentionFactor))
 	}
 	return f
 }
 
-// loadsUnderWay counts the adapters that the engine loads.
+// loadsUnderWay returns the number of adapters that the engine is loading.
 func (e *candidate) loadsUnderWay() int {
 	n := 0
 	for i := range e.status.Slots {
@@ -134,40 +135,41 @@
 	return n
 }
 
-// appraise adds to the cost what the engine costs for the request; false means that
-// it can't serve it. Before, cost holds the penalty for recent failures.
-func (e *candidate) appraise(n *need, f *fleetSurvey) bool {
+// estimateCost adds the expected delay and the penalties of the request to the cost. It
+// returns false if the engine can't serve the request. The penalty for recent failures is
+// already part of the cost.
+func (e *candidate) estimateCost(n *requirements, f *fleetStats) bool {
 	speed := e.speed().Toward(f.speed)
-	move := e.considerMove(n, f)
+	move := e.planMove(n, f)
 	read := move + speed.Read(e.unread(n.tokens))
 	e.cost += read
 	if e.remote {
-		e.cost += domainDelay
+		e.cost += crossDomainPenalty
 	}
 	if !e.linked {
-		// Without its controller nothing can be loaded.
-		e.cost += blindDelay + time.Duration(e.inFlight)*blindRunningFactor*runningDelay
-		return e.held
+		// Nothing can be loaded without the engine's controller.
+		e.cost += unlinkedPenalty + time.Duration(e.inFlight)*unlinkedRunningFactor*runningDelay
+		return e.loadedOrLoading
 	}
-	wait, ok := e.waitForAdapter(n, f)
+	wait, ok := e.estimateAdapterWait(n, f)
 	if !ok {
 		return false
 	}
 	wait += speed.Tokens(e.waitingTokens) + time.Duration(e.status.Running)*runningDelay
 	e.cost += wait
 	if wait+read > n.untilObjective {
-		e.cost += lateDelay
+		e.cost += latePenalty
 		e.late = true
 	}
-	if !e.held && !e.recallable {
-		e.cost += f.copyDelay
+	if !e.loadedOrLoading && !e.recallable {
+		e.cost += f.copyPenalty
 	}
 	return true
 }
 
-// waitForAdapter estimates the time until the engine holds what the request needs;
-// false means that it can't.
-func (e *candidate) waitForAdapter(n *need, f *fleetSurvey) (time.Duration, bool) {
+// estimateAdapterWait estimates the time until the engine has loaded the weights that the
+// request needs. It returns false if the engine can't load them.
+func (e *candidate) estimateAdapterWait(n *requirements, f *fleetStats) (time.Duration, bool) {
 	if !slices.Contains(e.status.Models, n.key.Model) {
 		return 0, false
 	}
@@ -175,10 +177,10 @@
 		return 0, true
 	}
 	slot := e.status.Slot(n.key)
-	if e.held && slot.State == enginelink.SlotLoaded {
+	if e.loadedOrLoading && slot.State == enginelink.SlotLoaded {
 		return 0, true
 	}
-	if e.held {
+	if e.loadedOrLoading {
 		return f.loadDelay / 2, true // half of a load is left, on average
 	}
 	var wait time.Duration
@@ -186,8 +188,8 @@
 	case slot != nil && e.status.Running > 0:
 		wait = replaceDelay
 	case slot == nil && e.status.Free <= 0:
-		wait = time.Duration(1-e.status.Free) * slotDelay
-		e.full = true
+		wait = time.Duration(1-e.status.Free) * slotWait
+		e.waitsForSlot = true
 	}
 	if e.recallable {
 		return wait + recallDelay, true
--- a/gateway/enginecost_test.go
+++ b/gateway/enginecost_test.go
@@ -12,29 +12,29 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-func TestSurveyOf(t *testing.T) {
+func TestNewFleetStats(t *testing.T) {
 	model := loadtime.Model{Alone: 200 * time.Millisecond, Carried: 8}
 	for name, tc := range map[string]struct {
 		copies, loading int
 		copy, load      time.Duration
 	}{
-		"the first copy has no price":     {0, 0, 0, model.Alone},
-		"another copy":                    {1, 0, copyDelay, model.Alone},
-		"as many loads as are carried":    {1, 7, copyDelay, model.Alone},
-		"contention":                      {1, 11, copyDelay * 3 / 2, model.Alone * 3 / 2},
-		"contention raises a copy by two": {1, 71, copyDelay * mostContention, model.Alone * 9},
-		"several copies":                  {2, 0, copyDelay, model.Alone},
+		"the first copy has no penalty":          {0, 0, 0, model.Alone},
+		"another copy":                           {1, 0, copyPenalty, model.Alone},
+		"as many loads as run at full speed":     {1, 7, copyPenalty, model.Alone},
+		"contention":                             {1, 11, copyPenalty * 3 / 2, model.Alone * 3 / 2},
+		"contention at most doubles the penalty": {1, 71, copyPenalty * maxContentionFactor, model.Alone * 9},
+		"several copies":                         {2, 0, copyPenalty, model.Alone},
 	} {
-		got := surveyOf(tc.copies, tc.loading, model)
-		assert.Equal(t, got.copyDelay, tc.copy, name)
+		got := newFleetStats(tc.copies, tc.loading, model)
+		assert.Equal(t, got.copyPenalty, tc.copy, name)
 		assert.Equal(t, got.loadDelay, tc.load, name)
 	}
 }
 
-// Without clock, lock or connection: the cost of one engine, part by part.
-func TestAppraise(t *testing.T) {
-	need := &need{key: sandbarrow.AdapterKey{Adapter: "a", Model: testModel}, tokens: 1000, untilObjective: time.Second}
-	survey := &fleetSurvey{copyDelay: copyDelay, loadDelay: loadtime.NewModel().Alone, speed: readspeed.Prior}
+// Checks each term of an engine's cost without a clock, a lock or a connection.
+func TestEstimateCost(t *testing.T) {
+	requirements := &requirements{key: sandbarrow.AdapterKey{Adapter: "a", Model: testModel}, tokens: 1000, untilObjective: time.Second}
+	stats := &fleetStats{copyPenalty: copyPenalty, loadDelay: loadtime.NewModel().Alone, speed: readspeed.Prior}
 	with := func(change func(*candidate)) candidate {
 		e := candidate{linkView: linkView{linked: true, status: enginelink.Status{
 			Free: 1, Models: []sandbarrow.BaseModelID{testModel},
@@ -42,35 +42,35 @@
 		change(&e)
 		return e
 	}
-	held := func(e *candidate) { e.held, e.status.Slots = true, loaded("a") }
+	loadedOrLoading := func(e *candidate) { e.loadedOrLoading, e.status.Slots = true, loadedSlots("a") }
 	for name, tc := range map[string]struct {
 		engine candidate
 		cost   time.Duration
 		ok     bool
 	}{
-		"holds it":               {with(held), 0, true},
-		"in another domain":      {with(func(e *candidate) { held(e); e.remote = true }), domainDelay, true},
-		"requests run there":     {with(func(e *candidate) { held(e); e.status.Running = 4 }), 4 * runningDelay, true},
-		"prompts wait there":     {with(func(e *candidate) { held(e); e.waitingTokens = 1000 }), 1000 * readspeed.Prior.PerToken, true},
-		"late":                   {with(func(e *candidate) { held(e); e.waitingTokens = 24_000 }), 24_000*readspeed.Prior.PerToken + lateDelay, true},
-		"loads it":               {with(func(e *candidate) { e.held, e.status.Slots = true, loadingOf("a") }), loadtime.NewModel().Alone / 2, true},
+		"has loaded it":          {with(loadedOrLoading), 0, true},
+		"in another domain":      {with(func(e *candidate) { loadedOrLoading(e); e.remote = true }), crossDomainPenalty, true},
+		"requests run there":     {with(func(e *candidate) { loadedOrLoading(e); e.status.Running = 4 }), 4 * runningDelay, true},
+		"prompts wait there":     {with(func(e *candidate) { loadedOrLoading(e); e.waitingTokens = 1000 }), 1000 * readspeed.Prior.PerToken, true},
+		"late":                   {with(func(e *candidate) { loadedOrLoading(e); e.waitingTokens = 24_000 }), 24_000*readspeed.Prior.PerToken + latePenalty, true},
+		"loads it":               {with(func(e *candidate) { e.loadedOrLoading, e.status.Slots = true, loadingSlotFor("a") }), loadtime.NewModel().Alone / 2, true},
 		"recalls it":             {with(func(e *candidate) { e.recallable = true }), recallDelay, true},
-		"loads it, another copy": {with(func(*candidate) {}), loadtime.NewModel().Alone + copyDelay, true},
-		"late for a slot":        {with(func(e *candidate) { e.status.Free = -1 }), 2*slotDelay + loadtime.NewModel().Alone + copyDelay + lateDelay, true},
-		"reads slowly": {with(func(e *candidate) {
-			held(e)
+		"loads it, another copy": {with(func(*candidate) {}), loadtime.NewModel().Alone + copyPenalty, true},
+		"late for a slot":        {with(func(e *candidate) { e.status.Free = -1 }), 2*slotWait + loadtime.NewModel().Alone + copyPenalty + latePenalty, true},
+		"prefills slowly": {with(func(e *candidate) {
+			loadedOrLoading(e)
 			e.waitingTokens, e.status.Speed = 1000, readspeed.Speed{Base: readspeed.Prior.Base, PerToken: 2 * readspeed.Prior.PerToken}
 		}), 2700 * readspeed.Prior.PerToken, true},
-		"another model":          {with(func(e *candidate) { e.status.Models = nil }), 0, false},
-		"not linked, holds it":   {with(func(e *candidate) { e.linked, e.held, e.inFlight = false, true, 2 }), blindDelay + 6*runningDelay, true},
-		"not linked, without it": {with(func(e *candidate) { e.linked = false }), blindDelay, false},
+		"another model":             {with(func(e *candidate) { e.status.Models = nil }), 0, false},
+		"not linked, has loaded it": {with(func(e *candidate) { e.linked, e.loadedOrLoading, e.inFlight = false, true, 2 }), unlinkedPenalty + 6*runningDelay, true},
+		"not linked, without it":    {with(func(e *candidate) { e.linked = false }), unlinkedPenalty, false},
 	} {
 		e := tc.engine
-		assert.Equal(t, e.appraise(need, survey), tc.ok, name)
-		assert.Equal(t, e.cost, tc.cost+readspeed.Prior.Read(need.tokens), name)
+		assert.Equal(t, e.estimateCost(requirements, stats), tc.ok, name)
+		assert.Equal(t, e.cost, tc.cost+readspeed.Prior.Read(requirements.tokens), name)
 	}
 }
 
-func loadingOf(adapter string) []enginelink.SlotStatus {
+func loadingSlotFor(adapter string) []enginelink.SlotStatus {
 	return []enginelink.SlotStatus{{Adapter: sandbarrow.AdapterID(adapter), Model: testModel, State: enginelink.SlotLoading}}
 }
--- a/gateway/enginesearch.go
+++ b/gateway/enginesearch.go
@@ -8,36 +8,35 @@
 )
 
 const (
-	// maxAcquires is at how many engines a request waits for its adapter. Three waits of
-	// acquireWaits use up the timeout of the routes seen.
+	// maxAcquires is the number of engines at which a request waits for its adapter. The three
+	// waits in acquireWaits use up the timeout of typical routes.
 	maxAcquires = 3
-	// maxBusy is how often a choice is repeated because more prompts wait at the engine
-	// than was known; after that the choice stands.
-	maxBusy = 2
-	// maxRefusals is how many engines may refuse a request at once, as crashed ones do for the half
-	// second until this gateway knows. Each takes a round trip alone, so that they do not count
-	// as waits.
+	// maxBusyRetries is how often the choice is repeated because more prompts wait at the
+	// engine than the gateway knew. After that the choice is final.
+	maxBusyRetries = 2
+	// maxRefusals is how many engines may refuse a request immediately. Crashed engines do so
+	// for the half second until this gateway detects the crash. A refusal takes only a round
+	// trip and is not counted as a wait.
 	maxRefusals = 8
 )
 
-// acquireWaits bound the wait for a slot at the first, second and third engine. The
-// first is short so that another engine can still be in time; the last may use what is
-// left.
+// acquireWaits bound the wait for a slot at the first, second and third engine. The first is
+// short enough for another engine to respond in time; the last may use the remaining time.
 var acquireWaits = [maxAcquires]time.Duration{500 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second}
 
-// engineSearch is the state of one call's search for an engine that answers.
+// engineSearch is the state of one call's search for an engine that serves it.
 type engineSearch struct {
-	// excluded are the engines that were asked.
+	// excluded are the engines that have been tried.
 	excluded map[sandbarrow.InstanceID]bool
-	// why is the reason of the call's end where no other engine answers.
-	why reason
-	// acquires counts the engines at which the request may have waited, refusals those
-	// that refused it at once, busy the choices that were repeated.
-	acquires, refusals, busy int
+	// endReason is the reason reported if no other engine responds.
+	endReason reason
+	// acquires counts the engines at which the request may have waited, refusals those that
+	// refused it immediately, and busyRetries the repeated choices.
+	acquires, refusals, busyRetries int
 }
 
-// asked counts an engine that was asked for the adapter, and what it refused.
-func (s *engineSearch) asked(id sandbarrow.InstanceID, refused enginelink.RefuseReason) {
+// recordAcquire counts an attempt to acquire the adapter at an engine, by its result.
+func (s *engineSearch) recordAcquire(id sandbarrow.InstanceID, refused enginelink.RefuseReason) {
 	s.excluded[id] = true
 	switch refused {
 	case enginelink.RefuseBackoff, enginelink.RefuseDraining, enginelink.RefuseInstance, enginelink.RefuseNoModel, enginelink.RefuseUnreachable:
@@ -47,12 +46,12 @@
 	}
 }
 
-// first reports whether no engine was asked yet.
-func (s *engineSearch) first() bool {
+// isFirst reports whether no engine has been tried yet.
+func (s *engineSearch) isFirst() bool {
 	return len(s.excluded) == 0
 }
 
-// mayAsk reports whether one more engine may be asked.
-func (s *engineSearch) mayAsk() bool {
+// mayContinue reports whether one more engine may be tried.
+func (s *engineSearch) mayContinue() bool {
 	return s.acquires < maxAcquires && s.refusals < maxRefusals
 }
--- a/gateway/enginesearch_test.go
+++ b/gateway/enginesearch_test.go
@@ -11,47 +11,47 @@
 	"sandbarrow.example/sandbarrow/enginelink"
 )
 
-func TestRefusalsAtOnceAreNoWaits(t *testing.T) {
+func TestImmediateRefusalsAreNotCountedAsWaits(t *testing.T) {
 	s := engineSearch{excluded: map[sandbarrow.InstanceID]bool{}}
-	assert.Assert(t, s.first())
-	ask := func(refused enginelink.RefuseReason) {
-		s.asked(sandbarrow.InstanceID(fmt.Sprint(len(s.excluded))), refused)
+	assert.Assert(t, s.isFirst())
+	acquire := func(refused enginelink.RefuseReason) {
+		s.recordAcquire(sandbarrow.InstanceID(fmt.Sprint(len(s.excluded))), refused)
 	}
 	for range maxRefusals - 1 {
-		ask(enginelink.RefuseUnreachable)
+		acquire(enginelink.RefuseUnreachable)
 	}
-	assert.Assert(t, s.mayAsk() && !s.first())
+	assert.Assert(t, s.mayContinue() && !s.isFirst())
 	assert.Equal(t, s.acquires, 0)
 	for range maxAcquires {
-		assert.Assert(t, s.mayAsk())
-		ask(enginelink.RefuseSlots)
+		assert.Assert(t, s.mayContinue())
+		acquire(enginelink.RefuseSlots)
 	}
-	assert.Assert(t, !s.mayAsk())
+	assert.Assert(t, !s.mayContinue())
 
 	s = engineSearch{excluded: map[sandbarrow.InstanceID]bool{}}
 	for range maxRefusals {
-		assert.Assert(t, s.mayAsk())
-		ask(enginelink.RefuseDraining)
+		assert.Assert(t, s.mayContinue())
+		acquire(enginelink.RefuseDraining)
 	}
-	assert.Assert(t, !s.mayAsk())
+	assert.Assert(t, !s.mayContinue())
 }
 
-func TestOldGrantIsAskedAnew(t *testing.T) {
-	g := chooserOf(t, statusOf(oldWeights))
-	named := func(v string, at sandbarrow.StoreRevision) {
+func TestGrantOfOldVersionIsAcquiredAgain(t *testing.T) {
+	g := newChoosingGateway(t, statusWithWeights(oldWeights))
+	nameVersion := func(v string, at sandbarrow.StoreRevision) {
 		g.estate.Update([]sandbarrow.KeyItem{{Key: "op/table", Revision: 1, Value: []byte("{}")}, {Key: "op/version/a", Revision: at, Value: []byte(v)}}, at)
 	}
-	named("1", 2)
+	nameVersion("1", 2)
 	c := callFor(g, "a", 100)
 	c.ends, c.callerEnds = c.began.Add(time.Second), c.began.Add(time.Second)
 	c.version = c.leastVersion()
 	e := &candidate{instance: g.directory.View().Service(testEngines)[0]}
 	s := engineSearch{excluded: map[sandbarrow.InstanceID]bool{}}
 
-	named("2", 3)
+	nameVersion("2", 3)
 	_, pinned := c.pinAt(t.Context(), &s, e)
-	assert.Assert(t, !pinned, "version 2 has been named")
-	assert.Assert(t, s.first() && s.acquires == 0, "the engine may be asked again")
+	assert.Assert(t, !pinned, "the operators have named version 2")
+	assert.Assert(t, s.isFirst() && s.acquires == 0, "the engine may be tried again")
 
 	c.version = c.leastVersion()
 	version, pinned := c.pinAt(t.Context(), &s, e)
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -200,10 +200,10 @@
 	if from := h.Get(testNames.MoveFrom); from != "" {
 		source := r.peer(from)
 		source.mu.Lock()
-		r.memory.take(&source.memory, parts)
+		r.memory.copyFrom(&source.memory, parts)
 		source.mu.Unlock()
 	}
-	r.memory.use(w, parts)
+	r.memory.run(w, parts)
 }
 
 func (r *runner) stream(w http.ResponseWriter, q *http.Request, cut int) {
--- a/gateway/passanswer.go
+++ b/gateway/passanswer.go
@@ -18,27 +18,27 @@
 const errNotNext = errors.ConstError("gateway: event does not follow the last one")
 
 // passWhole passes on an engine's answer that is no stream.
-func (c *call) passWhole(ctx context.Context, a *forward.Answer) verdict {
+func (c *call) passWhole(ctx context.Context, a *forward.Answer) attemptResult {
 	body, err := a.Body(maxAnswerBytes)
 	if err != nil {
-		return c.end(ctx, verdictBroken, err)
+		return c.failAttempt(ctx, resultBroken, err)
 	}
 	if c.committed {
-		return c.end(ctx, verdictBroken, errors.Errorf("status %d within a stream", a.Status))
+		return c.failAttempt(ctx, resultBroken, errors.Errorf("status %d within a stream", a.Status))
 	}
 	whole := &wholeAnswer{answer: a, body: body}
 	if a.Status >= http.StatusInternalServerError {
 		c.failure = whole
-		return c.end(ctx, verdictFailed, errors.Errorf("status %d", a.Status))
+		return c.failAttempt(ctx, resultFailed, errors.Errorf("status %d", a.Status))
 	}
 	c.ran++
 	c.pass(whole)
-	return verdictAnswered
+	return resultAnswered
 }
 
 // passEvents passes events on as they arrive, complete ones only, so that another
 // engine can continue after the last.
-func (c *call) passEvents(ctx context.Context, a *forward.Answer, e *candidate, p *progress) verdict {
+func (c *call) passEvents(ctx context.Context, a *forward.Answer, e *candidate, p *progress) attemptResult {
 	control := http.NewResponseController(c.writer)
 	for {
 		event, err := a.Event()
@@ -46,23 +46,23 @@
 			c.ran++
 			c.answeredBy(a)
 			c.finish(a.Status, "")
-			return verdictAnswered
+			return resultAnswered
 		}
 		if err != nil {
-			return c.end(ctx, verdictBroken, err)
+			return c.failAttempt(ctx, resultBroken, err)
 		}
 		c.progressed(e, p)
 		if !c.follows(event) {
-			return c.end(ctx, verdictBroken, errNotNext)
+			return c.failAttempt(ctx, resultBroken, errNotNext)
 		}
 		if !c.committed {
 			c.commit(a)
 		}
 		if _, err := c.writer.Write(event); err != nil {
-			return c.end(ctx, verdictBroken, errors.Annotate(err, "to the caller"))
+			return c.failAttempt(ctx, resultBroken, errors.Annotate(err, "to the caller"))
 		}
 		if err := control.Flush(); err != nil {
-			return c.end(ctx, verdictBroken, errors.Annotate(err, "to the caller"))
+			return c.failAttempt(ctx, resultBroken, errors.Annotate(err, "to the caller"))
 		}
 		c.passed(time.Now())
 	}
@@ -72,11 +72,11 @@
 func (c *call) progressed(e *candidate, p *progress) {
 	if !p.begun.Load() {
 		c.markRead(e)
-	} else if !p.reported && c.pausedTooLong(p.pause()) {
-		p.reported = true
+	} else if !p.pauseReported && c.pausedTooLong(p.sinceLast()) {
+		p.pauseReported = true
 		c.reportPause(e)
 	}
-	p.touch()
+	p.record()
 	if !p.proven && p.provenFor(provenRun) {
 		p.proven = true
 		c.clearEnds()
--- a/gateway/priority.go
+++ b/gateway/priority.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// lowestPriority is the least urgent priority that an engine knows; 0 is the most.
+// lowestPriority is the least urgent priority of an engine; 0 is the most urgent one.
 const lowestPriority = 9
 
-// tightSlack is the slack below which a request goes before others of its route: the prompts before
-// it at a busy engine take some 0.3 to 0.4 s.
+// tightSlack is the slack below which a request gets priority over others of its route. The prompts
+// ahead of it at a busy engine take about 0.3 to 0.4 s.
 const tightSlack = 450 * time.Millisecond
 
-// urgency orders the requests of one priority of the operators' routes by what
-// they lose from waiting at an engine.
+// urgency orders requests of the same configured priority by what they lose from waiting at
+// an engine.
 type urgency int
 
-// The urgencies within one priority, the first one first.
+// Urgencies within one priority, the most urgent one first.
 const (
-	// urgencyTight is a request that is in time only if it is read soon, or a
-	// stream that its caller reads already.
+	// urgencyTight is for a request that meets its objective only if its prefill starts soon,
+	// and for a stream that the caller is already receiving.
 	urgencyTight urgency = iota
-	// urgencyNormal is a request with time to spare.
+	// urgencyNormal is for a request with time to spare.
 	urgencyNormal
-	// urgencyLate is a request that can't be in time any more.
+	// urgencyLate is for a request that can no longer meet its objective.
 	urgencyLate
-	urgencies
+	urgencyCount
 )
 
 // urgencyOf decides the urgency of a request.
 //
-// Inputs: the time until it must be read to be in time, negative where it is late
-// already, and whether its caller reads the answer.
-func urgencyOf(slack time.Duration, begun bool) urgency {
+// Inputs: the time until its prefill must start for the response to be in time, negative if
+// it is already late, and whether the caller is already receiving the response.
+func urgencyOf(slack time.Duration, streaming bool) urgency {
 	switch {
-	case begun:
+	case streaming:
 		return urgencyTight
 	case slack < 0:
 		return urgencyLate
@@ -41,8 +41,8 @@
 	return urgencyNormal
 }
 
-// priority decides how urgent a request is among all: as the operators say of its
-// workspace, where they do, else as they say of its route.
+// priority returns the configured priority of a request: that of its workspace if it has
+// one, otherwise that of its route.
 func (c *call) priority() int {
 	if c.workspace != nil && c.workspace.Priority != nil {
 		return *c.workspace.Priority
@@ -50,10 +50,10 @@
 	return c.route.Priority
 }
 
-// enginePriority is the priority at the engine: the operators' comes first, then
-// what the request loses from waiting, so that an engine with more work than
-// time does not make all of it late.
+// enginePriority returns the priority that is sent to the engine. It orders requests by
+// configured priority first and by urgency second. The urgency keeps an overloaded engine
+// from making all requests late.
 func (c *call) enginePriority() int {
-	p := max(0, c.priority())*int(urgencies) + int(urgencyOf(c.useful(c.chosen), c.committed))
+	p := max(0, c.priority())*int(urgencyCount) + int(urgencyOf(c.objectiveSlack(c.chosen), c.committed))
 	return min(lowestPriority, p)
 }
--- a/gateway/priority_test.go
+++ b/gateway/priority_test.go
@@ -15,27 +15,27 @@
 	for name, tc := range map[string]struct {
 		priority, tokens int
 		waited           time.Duration
-		begun            bool
+		streaming        bool
 		want             int
 	}{
-		"time to spare":               {0, 500, 0, false, 1},
-		"a long prompt":               {0, 10_000, 0, false, 0},
-		"has waited":                  {0, 500, 500 * time.Millisecond, false, 0},
-		"late":                        {0, 500, 2 * time.Second, false, 2},
-		"late, but its caller reads":  {0, 500, 2 * time.Second, true, 0},
-		"less urgent route":           {1, 500, 0, false, 4},
-		"late in the last of routes":  {7, 500, 2 * time.Second, false, 9},
-		"an urgent route's late ones": {1, 6000, 2 * time.Second, false, 5},
+		"time to spare":                  {0, 500, 0, false, 1},
+		"a long prompt":                  {0, 10_000, 0, false, 0},
+		"has waited":                     {0, 500, 500 * time.Millisecond, false, 0},
+		"late":                           {0, 500, 2 * time.Second, false, 2},
+		"late, but already streaming":    {0, 500, 2 * time.Second, true, 0},
+		"less urgent route":              {1, 500, 0, false, 4},
+		"late on the least urgent route": {7, 500, 2 * time.Second, false, 9},
+		"late on a less urgent route":    {1, 6000, 2 * time.Second, false, 5},
 	} {
 		c := call{callerRequest: callerRequest{
 			began: boottime.Now().Add(-tc.waited), tokens: tc.tokens, route: &route.Route{Objective: time.Second, Priority: tc.priority},
-		}, streamState: streamState{committed: tc.begun}}
+		}, streamState: streamState{committed: tc.streaming}}
 		assert.Equal(t, c.enginePriority(), tc.want, name)
 	}
 }
 
-// What the operators say of a workspace goes before what they say of its route.
-func TestPriorityOfTheWorkspace(t *testing.T) {
+// The priority of a workspace takes precedence over that of the route.
+func TestWorkspacePriorityOverridesRoutePriority(t *testing.T) {
 	urgent := 0
 	c := &call{}
 	c.route = &route.Route{Priority: 2}
--- a/gateway/progress.go
+++ b/gateway/progress.go
@@ -11,81 +11,80 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-// How long a stream may make no progress before it is continued at another engine.
-// firstGap grows by the prompts ahead, since streams that waited behind
-// 5 s of prompts would be given up and read again elsewhere.
+// Timeouts after which a stream without progress is continued at another engine. The prefill
+// time of the prompts ahead is added to firstEventTimeout. Otherwise streams that wait behind
+// 5 s of prompts would be cancelled and their prompts prefilled again at another engine.
 const (
-	// progressPause is the pause between two looks at a stream's progress.
-	progressPause = 250 * time.Millisecond
-	// unreachableGap applies while the controller says that its engine does not answer.
-	unreachableGap = 400 * time.Millisecond
-	// longestGap applies to a stream that has begun.
-	longestGap = 1800 * time.Millisecond
-	// firstGap applies before the first event, beside the time to read the prompts
-	// that wait there.
-	firstGap = 3 * time.Second
+	// progressCheckInterval is the time between two checks of a stream's progress.
+	progressCheckInterval = 250 * time.Millisecond
+	// unreachableTimeout applies while the controller reports its engine as unreachable.
+	unreachableTimeout = 400 * time.Millisecond
+	// nextEventTimeout applies after the first event.
+	nextEventTimeout = 1800 * time.Millisecond
+	// firstEventTimeout applies before the first event, in addition to the prefill time of the
+	// prompts that wait at the engine.
+	firstEventTimeout = 3 * time.Second
 )
 
-// errStalled ends an attempt whose engine makes no progress.
+// errStalled is the cause with which an attempt without progress is cancelled.
 const errStalled = errors.ConstError("gateway: stream stalled")
 
-// progress is when a stream last made progress.
+// progress records when a stream last made progress.
 type progress struct {
-	// at is counted from start, on the monotonic clock.
+	// at is the time of the last progress, as the monotonic time since start.
 	at    atomic.Int64
 	begun atomic.Bool
-	// first is when the first event came, proven says that events have come for provenRun;
-	// only the reader of the events uses them.
-	first  time.Time
-	proven bool
-	// reported says that a pause that was too long has been reported; only the reader of
-	// the events uses it.
-	reported bool
-	start    time.Time
+	// firstEvent is when the first event arrived. proven is set once events have arrived for
+	// provenRun. Only the goroutine that reads the events uses both.
+	firstEvent time.Time
+	proven     bool
+	// pauseReported is set once a pause that was too long has been reported. Only the
+	// goroutine that reads the events uses it.
+	pauseReported bool
+	start         time.Time
 }
 
-// provenFor reports whether events have come for at least so long.
+// provenFor reports whether events have arrived for at least the given time.
 func (p *progress) provenFor(least time.Duration) bool {
-	return !p.first.IsZero() && time.Since(p.first) >= least
+	return !p.firstEvent.IsZero() && time.Since(p.firstEvent) >= least
 }
 
-// touch marks progress now.
-func (p *progress) touch() {
-	if p.first.IsZero() {
-		p.first = time.Now()
+// record records progress now.
+func (p *progress) record() {
+	if p.firstEvent.IsZero() {
+		p.firstEvent = time.Now()
 	}
 	p.begun.Store(true)
 	p.at.Store(int64(time.Since(p.start)))
 }
 
-// pause is how long there was no progress.
-func (p *progress) pause() time.Duration {
+// sinceLast returns the time since the last progress.
+func (p *progress) sinceLast() time.Duration {
 	return time.Since(p.start) - time.Duration(p.at.Load())
 }
 
-// longestPause decides how long a stream may make no progress before it counts as
-// stalled.
+// stallTimeout decides how long a stream may make no progress before it counts as stalled.
 //
-// Inputs: whether its first event has come, the prompt tokens that the engine has
-// yet to read and its speed (as old as the last status, half a second at most), and
-// whether its controller says that the engine does not answer.
-func longestPause(begun bool, waitingTokens int, speed readspeed.Speed, engineUnreachable bool) time.Duration {
+// Inputs: whether the first event has arrived, the prompt tokens that wait for prefill at the
+// engine, the engine's prefill speed, and whether its controller reports the engine as
+// unreachable. The tokens and the speed are from the last status, at most half a second old.
+func stallTimeout(begun bool, waitingTokens int, speed readspeed.Speed, engineUnreachable bool) time.Duration {
 	switch {
 	case engineUnreachable:
-		return unreachableGap
+		return unreachableTimeout
 	case begun:
-		return longestGap
+		return nextEventTimeout
 	}
-	return firstGap + speed.Tokens(waitingTokens)
+	return firstEventTimeout + speed.Tokens(waitingTokens)
 }
 
-// watchProgress ends an attempt that makes no progress, where the request may be
-// sent to another engine.
+// watchProgress cancels an attempt that makes no progress, if the request may be sent to
+// another engine.
 func (c *call) watchProgress(ctx context.Context, cancel context.CancelCauseFunc, e *candidate, p *progress) {
 	if !c.route.Repeatable() {
 		return
 	}
-	ticker := time.NewTicker(progressPause)
+	ticker := time.NewTicker(progressCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -94,7 +93,7 @@
 			return
 		}
 		status, linked := e.link.lastStatus(boottime.Now())
-		if p.pause() > longestPause(p.begun.Load(), e.link.waitingTokens(c.priority()), statusSpeed(&status), linked && status.EngineUnreachable) {
+		if p.sinceLast() > stallTimeout(p.begun.Load(), e.link.waitingTokens(c.priority()), statusSpeed(&status), linked && status.EngineUnreachable) {
 			cancel(errStalled)
 			return
 		}
--- a/gateway/progress_test.go
+++ b/gateway/progress_test.go
@@ -11,22 +11,22 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-func TestLongestPause(t *testing.T) {
+func TestStallTimeout(t *testing.T) {
 	speed := readspeed.Speed{Base: time.Second, PerToken: 52 * time.Microsecond}
-	assert.Equal(t, longestPause(false, 0, speed, false), firstGap)
-	assert.Equal(t, longestPause(false, 100_000, speed, false), firstGap+5200*time.Millisecond, "the prompts ahead are read first")
-	assert.Equal(t, longestPause(true, 100_000, speed, false), longestGap, "its own prompt has been read")
-	assert.Equal(t, longestPause(false, 100_000, speed, true), unreachableGap)
-	assert.Equal(t, longestPause(true, 0, speed, true), unreachableGap)
+	assert.Equal(t, stallTimeout(false, 0, speed, false), firstEventTimeout)
+	assert.Equal(t, stallTimeout(false, 100_000, speed, false), firstEventTimeout+5200*time.Millisecond, "the prompts ahead are prefilled first")
+	assert.Equal(t, stallTimeout(true, 100_000, speed, false), nextEventTimeout, "its own prompt has been prefilled")
+	assert.Equal(t, stallTimeout(false, 100_000, speed, true), unreachableTimeout)
+	assert.Equal(t, stallTimeout(true, 0, speed, true), unreachableTimeout)
 }
 
-// A stalled attempt is logged as such, though it ends by its closed connection.
-func TestCauseOfAttempt(t *testing.T) {
+// The cause of a stalled attempt is the stall, not the error of its closed connection.
+func TestStalledAttemptIsLoggedAsStalled(t *testing.T) {
 	c := &call{}
 	ctx, cancel := context.WithCancelCause(t.Context())
-	assert.Equal(t, c.end(ctx, verdictBroken, io.ErrUnexpectedEOF), verdictBroken)
+	assert.Equal(t, c.failAttempt(ctx, resultBroken, io.ErrUnexpectedEOF), resultBroken)
 	assert.Equal(t, c.cause, io.ErrUnexpectedEOF.Error())
 	cancel(errStalled)
-	assert.Equal(t, c.end(ctx, verdictBroken, io.ErrUnexpectedEOF), verdictBroken)
+	assert.Equal(t, c.failAttempt(ctx, resultBroken, io.ErrUnexpectedEOF), resultBroken)
 	assert.Equal(t, c.cause, errStalled.Error())
 }
--- a/gateway/promptmove.go
+++ b/gateway/promptmove.go
@@ -7,92 +7,93 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// This file decides when an engine takes what another one keeps of a prompt, in place of
-// reading it again. Engines check nothing of what they take: that it was made with the
-// weights that run is decided here alone.
+// This file decides when an engine copies the cached prefix of a prompt from another engine
+// instead of prefilling it again. Engines don't verify the copied data. Only the checks in
+// this file ensure that it was computed with the weights that the engine runs.
 
 const (
-	// leastMoved is the least part of a prompt that is worth a move, in tokens: a move has its
-	// price and holds up others between the same engines.
-	leastMoved = 1500
-	// movePrice is the price of moving one token beside its time: memory moved costs the
-	// operators, and both engines' links.
-	movePrice = 8 * time.Microsecond
+	// minMovedTokens is the shortest prefix that is worth a move, in tokens. A move has a cost
+	// and delays other moves between the same engines.
+	minMovedTokens = 1500
+	// movePenaltyPerToken is the penalty for moving one token, beside the time it takes. It
+	// stands for the operators' cost and for the bandwidth of both engines' links.
+	movePenaltyPerToken = 8 * time.Microsecond
 )
 
-// moveOutcome says what came of a move that was chosen.
+// moveOutcome is the outcome of a planned move.
 type moveOutcome string
 
-// The outcomes of a move.
+// Outcomes of a move.
 const (
-	// moveSent means that the engine was told to take the memory.
+	// moveSent means that the request tells the engine to copy the cached prefix.
 	moveSent moveOutcome = "sent"
-	// moveSource means that the other engine keeps the memory no longer, as far as known.
-	moveSource moveOutcome = "source"
-	// moveWeights means that the engine runs other weights than made the memory.
-	moveWeights moveOutcome = "weights"
+	// moveNotCached means that the source, by its last known state, no longer has the prefix
+	// cached, or does not accept work.
+	moveNotCached moveOutcome = "source"
+	// moveOtherWeights means that the prefix was computed with other weights than the engine runs.
+	moveOtherWeights moveOutcome = "weights"
 )
 
-// promptMove is what an engine takes of a prompt from another one. Its zero value takes
+// promptMove is the move of a cached prompt prefix from another engine. Its zero value moves
 // nothing.
 type promptMove struct {
-	// outcome is empty until the move is settled.
+	// outcome is empty until confirmMove has decided.
 	outcome moveOutcome
-	source  keptSource
+	source  cachedSource
 	tokens  int
 }
 
-// from is the address from which the engine is told to take memory; empty where nothing is
-// taken, and before that is settled.
-func (m *promptMove) from() string {
+// sourceAddress returns the address from which the engine copies the prefix. It is empty if
+// nothing is moved or the move is not confirmed yet.
+func (m *promptMove) sourceAddress() string {
 	if m.outcome != moveSent {
 		return ""
 	}
 	return m.source.instance.Address
 }
 
-// keptSource is an engine that keeps a part of a prompt.
-type keptSource struct {
+// cachedSource is an engine that has a prefix of the prompt cached.
+type cachedSource struct {
 	instance *sandbarrow.Instance
 	link     *controllerLink
 	tokens   int
-	// weights are the versions that made what is kept, and that the engine runs.
+	// weights are the versions that the prefix was computed with and that the engine runs.
 	weights sandbarrow.WeightsVersion
 }
 
-// keptSources are the engines that keep most of a prompt, one for each version of the
+// cachedSources are the engines with the longest cached prefix, one for each version of the
 // weights.
-type keptSources []keptSource
+type cachedSources []cachedSource
 
-// sourcesOf finds the engines that keep most of the prompt; none where memory can't be
-// moved or too little is kept.
-func sourcesOf(list []candidate, n *need) keptSources {
-	var sources keptSources
+// findSources returns the engines with the longest cached prefix of the prompt. There are none
+// if engines can't move cached prompts or all prefixes are too short.
+func findSources(list []candidate, n *requirements) cachedSources {
+	var sources cachedSources
 	if n.movePerToken <= 0 {
 		return sources
 	}
 	for i := range list {
 		e := &list[i]
-		if e.linked && e.kept >= leastMoved && e.weights.Known(n.key) {
-			sources = sources.with(keptSource{instance: e.instance, link: e.link, tokens: e.kept, weights: e.weights})
+		if e.linked && e.kept >= minMovedTokens && e.weights.Known(n.key) {
+			sources = sources.add(cachedSource{instance: e.instance, link: e.link, tokens: e.kept, weights: e.weights})
 		}
 	}
 	return sources
 }
 
-// with adds a source, where none keeps as much for the same weights.
-func (s keptSources) with(more keptSource) keptSources {
-	if same := s.of(more.weights); same != nil {
-		if more.tokens > same.tokens {
-			*same = more
+// add adds a source, unless another one has as long a prefix for the same weights.
+func (s cachedSources) add(source cachedSource) cachedSources {
+	if same := s.find(source.weights); same != nil {
+		if source.tokens > same.tokens {
+			*same = source
 		}
 		return s
 	}
-	return append(s, more)
+	return append(s, source)
 }
 
-// of returns the source for weights of a version, or nil.
-func (s keptSources) of(v sandbarrow.WeightsVersion) *keptSource {
+// find returns the source for a version of the weights, or nil.
+func (s cachedSources) find(v sandbarrow.WeightsVersion) *cachedSource {
 	for i := range s {
 		if s[i].weights == v {
 			return &s[i]
@@ -101,57 +102,57 @@
 	return nil
 }
 
-// runsWith predicts the versions of the weights with which the engine will run the
-// request: those that it holds, or what a load brings. newest is the newest version of the
-// adapter that any engine holds.
-func (e *candidate) runsWith(n *need, newest sandbarrow.AdapterVersion) sandbarrow.WeightsVersion {
+// predictWeights predicts the versions of the weights with which the engine will run the
+// request: the loaded ones, or those that it would load. newestVersion is the newest version
+// of the adapter that any engine has loaded.
+func (e *candidate) predictWeights(n *requirements, newestVersion sandbarrow.AdapterVersion) sandbarrow.WeightsVersion {
 	if e.weights.Known(n.key) && e.weights.Adapter >= n.version {
 		return e.weights
 	}
 	v := sandbarrow.WeightsVersion{Model: e.status.ModelVersion(n.key.Model)}
 	if n.key.Adapter != "" {
-		v.Adapter = max(n.version, newest)
+		v.Adapter = max(n.version, newestVersion)
 	}
 	return v
 }
 
-// considerMove decides whether the engine is to take kept memory of the prompt from
-// another one before it reads the rest, and returns the time and price of that. settleMove
-// has the last word once it is known which weights run.
+// planMove decides whether the engine should copy a cached prefix of the prompt from another
+// engine before it prefills the rest. It returns the time and penalty of the move.
+// confirmMove makes the final decision once the granted weights are known.
 //
-// Inputs: what both keep and which weights they run, as old as their last reports, the
-// time to move a token by the operators' document, and the engine's reading speed.
-func (e *candidate) considerMove(n *need, f *fleetSurvey) time.Duration {
+// Inputs: the cached prefixes and weights of both engines by their last reports, the
+// configured time to move a token, and the engine's prefill speed.
+func (e *candidate) planMove(n *requirements, f *fleetStats) time.Duration {
 	if !e.linked || len(f.sources) == 0 {
 		return 0
 	}
-	source := f.sources.of(e.runsWith(n, f.newest))
+	source := f.sources.find(e.predictWeights(n, f.newestVersion))
 	if source == nil {
 		return 0
 	}
-	more := source.tokens - e.kept
-	if more < leastMoved {
+	moved := source.tokens - e.kept
+	if moved < minMovedTokens {
 		return 0
 	}
-	cost := time.Duration(more) * (n.movePerToken + movePrice)
-	if cost >= e.speed().Tokens(more) {
+	cost := time.Duration(moved) * (n.movePerToken + movePenaltyPerToken)
+	if cost >= e.speed().Tokens(moved) {
 		return 0
 	}
-	e.move = promptMove{source: *source, tokens: more}
+	e.move = promptMove{source: *source, tokens: moved}
 	return cost
 }
 
-// settleMove decides, right before the request is sent, whether the engine is told to take
-// the memory after all. The choice was made by predictions: while the adapter was loaded,
-// a newer version may have come, or the other engine may have replaced its own. An
-// engine that ran on memory of other weights would give wrong answers that look sound.
+// confirmMove decides, right before the request is sent, whether the planned move is still
+// valid. The plan was based on predictions: while the adapter was loaded, a newer version may
+// have been named, or the source may have replaced its adapter. An engine that used a prefix
+// computed with other weights would return wrong output that looks correct.
 //
-// Inputs: the versions of the grant and the last report of the other engine.
-func (c *call) settleMove(e *candidate) {
+// Inputs: the granted versions and the last report of the source.
+func (c *call) confirmMove(e *candidate) {
 	if e.move.tokens == 0 {
 		return
 	}
-	outcome := c.outcomeOf(&e.move, e.granted)
+	outcome := c.moveOutcomeFor(&e.move, e.granted)
 	if outcome != moveSent {
 		e.move = promptMove{}
 	}
@@ -159,13 +160,13 @@
 	c.gateway.metrics.moveSettled(outcome)
 }
 
-func (c *call) outcomeOf(m *promptMove, granted sandbarrow.WeightsVersion) moveOutcome {
+func (c *call) moveOutcomeFor(m *promptMove, granted sandbarrow.WeightsVersion) moveOutcome {
 	s := &m.source
 	switch {
 	case granted != s.weights:
-		return moveWeights
-	case !c.gateway.upstreams.accepts(s.instance), s.link.keeps(boottime.Now(), s.instance, c, granted) < leastMoved:
-		return moveSource
+		return moveOtherWeights
+	case !c.gateway.upstreams.accepts(s.instance), s.link.keeps(boottime.Now(), s.instance, c, granted) < minMovedTokens:
+		return moveNotCached
 	}
 	return moveSent
 }
--- a/gateway/retryrule.go
+++ b/gateway/retryrule.go
@@ -10,34 +10,34 @@
 	"sandbarrow.example/sandbarrow/route"
 )
 
-// This file answers when a request may be sent again, what the end of an attempt
-// means for its call, and with which status a call is given up. The rules are pure
-// functions; package retry has the budgets that bound retries.
+// This file decides when a request may be sent again, what follows an attempt, and which
+// status ends a failed call. The rules are pure functions; package retry has the budgets
+// that bound retries.
 
-// leastSend is the least time before a call's end in which a request is still sent: less would not
-// suffice for an answer.
-const leastSend = 20 * time.Millisecond
+// minSendTime is the time that must remain in a call for a request to be sent. Less is not enough
+// for a response.
+const minSendTime = 20 * time.Millisecond
 
-// permission says whether a request may be sent to an upstream.
+// permission is the decision whether a request may be sent to an upstream.
 type permission int
 
-// The permissions.
+// Permissions.
 const (
-	// sendFree is a first attempt, which costs nothing.
+	// sendFree is for a first attempt, which does not use the retry budget.
 	sendFree permission = iota
-	// sendBudgeted is a retry, which must be taken from the retry budget.
+	// sendBudgeted is for a retry, which needs a unit of the retry budget.
 	sendBudgeted
-	// sendNever is a request that must not be sent any more.
+	// sendNever is for a request that must not be sent again.
 	sendNever
 )
 
 // permissionToSend decides whether a request may be sent to one more upstream.
 //
-// Inputs: the upstreams that got it and those that may have run it, and the
-// route's kind and number of attempts. A request that may have run goes on only
-// where its route says that running it twice does no harm, and to no more upstreams
-// than the route allows. One that only was refused as not run may go to one
-// upstream more than that. Neither is free: what was sent once loads the fleet.
+// Inputs: the number of upstreams that received the request, the number that may have run
+// it, and the route's kind and maximum number of attempts. A request that may have run is
+// sent again only if its route allows it to run twice, and to no more upstreams than the
+// route allows. A request that was only refused, and did not run, may be sent to one more
+// upstream than that. Both use the retry budget, because each attempt adds load to the fleet.
 func permissionToSend(a *attempts, r *route.Route) permission {
 	switch {
 	case a.sent == 0:
@@ -50,8 +50,8 @@
 	return sendBudgeted
 }
 
-// maySend reports whether the request may be sent to one more upstream, and takes
-// a retry from the budget.
+// maySend reports whether the request may be sent to one more upstream. For a retry it
+// acquires a unit of the retry budget.
 func (c *call) maySend() bool {
 	switch permissionToSend(&c.attempts, c.route) {
 	case sendFree:
@@ -62,70 +62,71 @@
 	return c.gateway.retryBudget(c.service.ID).Retry()
 }
 
-// verdict says how an attempt at an engine ended.
-type verdict int
+// attemptResult is the result of an attempt at an engine.
+type attemptResult int
 
-// The verdicts of an attempt.
+// Results of an attempt.
 const (
-	// verdictAnswered means that the caller has its final answer.
-	verdictAnswered verdict = iota
-	// verdictBroken means that the request may have run.
-	verdictBroken
-	// verdictFailed means that the engine answered with a failure, which is kept.
-	verdictFailed
-	// verdictNotRun means that the request did not run.
-	verdictNotRun
-	// verdictNotSent means that no byte left.
-	verdictNotSent
+	// resultAnswered means that the caller has received the complete response.
+	resultAnswered attemptResult = iota
+	// resultBroken means that the attempt failed and the request may have run.
+	resultBroken
+	// resultFailed means that the engine responded with an error. The response is stored in
+	// the call's failure field.
+	resultFailed
+	// resultNotRun means that the request did not run.
+	resultNotRun
+	// resultNotSent means that no byte of the request was sent.
+	resultNotSent
 )
 
-// String returns the verdict's name in logs.
-func (v verdict) String() string {
-	return [...]string{"answered", "broken", "failed", "not-run", "not-sent"}[v]
+// String returns the result's name in logs.
+func (r attemptResult) String() string {
+	return [...]string{"answered", "broken", "failed", "not-run", "not-sent"}[r]
 }
 
-// step is what a call does after an attempt at an engine.
-type step int
+// nextStep is what a call does after an attempt at an engine.
+type nextStep int
 
-// The steps.
+// Steps after an attempt.
 const (
-	// stepAgain looks for another engine; permissionToSend has the last word.
-	stepAgain step = iota
-	// stepDone leaves the call: the caller has its answer.
+	// stepRetry looks for another engine, if permissionToSend allows it.
+	stepRetry nextStep = iota
+	// stepDone ends the call: the caller has received the response.
 	stepDone
-	// stepAbort breaks off the answer that the caller has a part of.
+	// stepAbort aborts a response that the caller has received in part.
 	stepAbort
-	// stepPassFailure gives the engine's own failure to the caller.
+	// stepPassFailure passes the engine's error response to the caller.
 	stepPassFailure
 )
 
 // afterAttempt decides what follows an attempt at an engine.
 //
-// Inputs: how it ended, whether the caller has a part of the answer, whether the
-// route may run twice. mayHaveRun says that the attempt counts as one that may have
-// run; why is the reason of the call's end where no other engine answers.
-func afterAttempt(v verdict, committed, repeatable bool) (next step, mayHaveRun bool, why reason) {
-	switch v {
-	case verdictAnswered:
+// Inputs: the result of the attempt, whether the caller has received a part of the
+// response, and whether the request may run twice. mayHaveRun is set if the request may
+// have run at the engine. why is the reason that is reported if no other engine responds.
+func afterAttempt(result attemptResult, committed, repeatable bool) (next nextStep, mayHaveRun bool, why reason) {
+	switch result {
+	case resultAnswered:
 		return stepDone, false, ""
-	case verdictNotRun:
-		return stepAgain, false, reasonRefused
-	case verdictNotSent:
-		return stepAgain, false, reasonNoUpstream
-	case verdictFailed:
+	case resultNotRun:
+		return stepRetry, false, reasonRefused
+	case resultNotSent:
+		return stepRetry, false, reasonNoUpstream
+	case resultFailed:
 		if !repeatable {
 			return stepPassFailure, true, reasonBroken
 		}
-	case verdictBroken:
+	case resultBroken:
 		if committed && !repeatable {
 			return stepAbort, true, reasonBroken
 		}
 	}
-	return stepAgain, true, reasonBroken
+	return stepRetry, true, reasonBroken
 }
 
-// endStatus decides the status of a call that is given up: 503 promises that the
-// request did not run, so it is said only where no upstream may have run it.
+// endStatus decides the status of a failed call. A 503 guarantees that the request did not
+// run, therefore it is used only if no upstream may have run it.
 func endStatus(ran int, late bool, why reason) (int, reason) {
 	switch {
 	case ran == 0:
@@ -136,13 +137,13 @@
 	return http.StatusBadGateway, why
 }
 
-// notRun reports whether an answer promises that the request did not run: another
-// instance has the address, or the upstream says so.
+// notRun reports whether a response guarantees that the request did not run: either another
+// instance has the address, or the upstream set the header for that.
 func (c *call) notRun(a *forward.Answer) bool {
 	return a.Status == http.StatusMisdirectedRequest || a.Header.Get(c.gateway.config.Headers.NotRun) != ""
 }
 
-// retryBudget is the budget of a service at this gateway now.
+// retryBudget returns this gateway's current retry budget of a service.
 func (g *Gateway) retryBudget(id sandbarrow.ServiceID) *retry.Budget {
 	return g.budgets.Budget(id, g.engines.gateways())
 }
--- a/gateway/retryrule_test.go
+++ b/gateway/retryrule_test.go
@@ -19,15 +19,15 @@
 		route     *route.Route
 		want      permission
 	}{
-		"first":                                 {0, 0, unsafe, sendFree},
-		"not run, may not run twice":            {1, 0, unsafe, sendBudgeted},
-		"not run, at as many as the route says": {2, 0, unsafe, sendBudgeted},
-		"not run, at one more":                  {3, 0, unsafe, sendNever},
-		"may have run, may not run twice":       {1, 1, unsafe, sendNever},
-		"may have run, may run twice":           {1, 1, safe, sendBudgeted},
-		"may have run as often as allowed":      {2, 2, safe, sendNever},
-		"a stream that may go on elsewhere":     {1, 1, resumable, sendBudgeted},
-		"a stream that may not":                 {1, 1, stream, sendNever},
+		"first":                                {0, 0, unsafe, sendFree},
+		"not run, may not run twice":           {1, 0, unsafe, sendBudgeted},
+		"not run, at the maximum of the route": {2, 0, unsafe, sendBudgeted},
+		"not run, above the maximum":           {3, 0, unsafe, sendNever},
+		"may have run, may not run twice":      {1, 1, unsafe, sendNever},
+		"may have run, may run twice":          {1, 1, safe, sendBudgeted},
+		"may have run as often as allowed":     {2, 2, safe, sendNever},
+		"a resumable stream":                   {1, 1, resumable, sendBudgeted},
+		"a stream that is not resumable":       {1, 1, stream, sendNever},
 	} {
 		assert.Equal(t, permissionToSend(&attempts{sent: tc.sent, ran: tc.ran}, tc.route), tc.want, name)
 	}
@@ -35,30 +35,30 @@
 
 func TestAfterAttempt(t *testing.T) {
 	for name, tc := range map[string]struct {
-		verdict               verdict
+		attemptResult         attemptResult
 		committed, repeatable bool
-		next                  step
+		next                  nextStep
 		mayHaveRun            bool
 		why                   reason
 	}{
-		"answered":                       {verdictAnswered, true, true, stepDone, false, ""},
-		"not run":                        {verdictNotRun, false, false, stepAgain, false, reasonRefused},
-		"not sent":                       {verdictNotSent, false, false, stepAgain, false, reasonNoUpstream},
-		"failed, repeatable":             {verdictFailed, false, true, stepAgain, true, reasonBroken},
-		"failed, not repeatable":         {verdictFailed, false, false, stepPassFailure, true, reasonBroken},
-		"broken before the head":         {verdictBroken, false, false, stepAgain, true, reasonBroken},
-		"broken within, repeatable":      {verdictBroken, true, true, stepAgain, true, reasonBroken},
-		"broken within, not repeatable":  {verdictBroken, true, false, stepAbort, true, reasonBroken},
-		"broken before, once repeatable": {verdictBroken, false, true, stepAgain, true, reasonBroken},
+		"answered":               {resultAnswered, true, true, stepDone, false, ""},
+		"not run":                {resultNotRun, false, false, stepRetry, false, reasonRefused},
+		"not sent":               {resultNotSent, false, false, stepRetry, false, reasonNoUpstream},
+		"failed, repeatable":     {resultFailed, false, true, stepRetry, true, reasonBroken},
+		"failed, not repeatable": {resultFailed, false, false, stepPassFailure, true, reasonBroken},
+		"broken before the response, not repeatable": {resultBroken, false, false, stepRetry, true, reasonBroken},
+		"broken within the response, repeatable":     {resultBroken, true, true, stepRetry, true, reasonBroken},
+		"broken within the response, not repeatable": {resultBroken, true, false, stepAbort, true, reasonBroken},
+		"broken before the response, repeatable":     {resultBroken, false, true, stepRetry, true, reasonBroken},
 	} {
-		next, mayHaveRun, why := afterAttempt(tc.verdict, tc.committed, tc.repeatable)
+		next, mayHaveRun, why := afterAttempt(tc.attemptResult, tc.committed, tc.repeatable)
 		assert.Equal(t, next, tc.next, name)
 		assert.Equal(t, mayHaveRun, tc.mayHaveRun, name)
 		assert.Equal(t, why, tc.why, name)
 	}
 }
 
-// 503 promises that the request did not run.
+// A 503 guarantees that the request did not run.
 func TestEndStatus(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ran    int
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// enginesWait bounds the wait for any engine, as after a loss of all power.
-	enginesWait = 1200 * time.Millisecond
-	// lookPause is the pause between two looks at what is awaited: short against enginesWait and
-	// viewWait.
-	lookPause = 40 * time.Millisecond
-	// streamMediaType is the type of an answer that is passed on event by event.
+	// maxEnginesWait bounds the wait for any engine to appear, as after a complete power loss.
+	maxEnginesWait = 1200 * time.Millisecond
+	// pollInterval is the time between two checks of a condition that a call waits for. It is
+	// short compared to maxEnginesWait and viewWait.
+	pollInterval = 40 * time.Millisecond
+	// streamMediaType is the media type of a response that is passed on event by event.
 	streamMediaType = "text/event-stream"
 )
 
-// refuseNoAnswer stands in logs for a controller that did not answer.
-const refuseNoAnswer enginelink.RefuseReason = "no-answer"
+// refuseNoReply is logged if a controller did not reply.
+const refuseNoReply enginelink.RefuseReason = "no-answer"
 
-// causeNewerVersion stands in logs for a grant of a version that is old by now.
+// causeNewerVersion is logged if a newer version was named while the grant was pending.
 const causeNewerVersion = "newer-version"
 
-// serveEngine serves a request that an engine runs: it chooses an engine, pins the
-// adapter there, sends the request and passes the answer on, until an engine has
-// answered or the request may not be sent again.
+// serveEngine serves a request for an engine. It chooses an engine, pins the adapter there,
+// sends the request and passes the response on. It repeats this until an engine has
+// responded or the request may not be sent again.
 func (c *call) serveEngine(ctx context.Context) {
-	s := engineSearch{excluded: map[sandbarrow.InstanceID]bool{}, why: reasonNoUpstream}
-	for ctx.Err() == nil && c.left() > leastSend && s.mayAsk() {
+	s := engineSearch{excluded: map[sandbarrow.InstanceID]bool{}, endReason: reasonNoUpstream}
+	for ctx.Err() == nil && c.left() > minSendTime && s.mayContinue() {
 		c.holdSuspect(ctx)
 		c.version = c.leastVersion()
 		e := c.gateway.chooseEngine(c, s.excluded)
-		if s.first() && !c.blocked.decisive() && (e == nil || !c.gateway.engines.anyUp()) && c.awaitEngines(ctx) {
+		if s.isFirst() && !c.blocked.waitIsFutile() && (e == nil || !c.gateway.engines.anyUp()) && c.awaitEngines(ctx) {
 			continue
 		}
 		if e == nil {
 			break
 		}
 		c.chosen = e
-		patience := c.callerEnds.Sub(c.began)
-		if s.first() && refuseEarly(e, c.elapsed(), c.route.Objective, c.route.Timeout, patience) {
+		callerTimeout := c.callerEnds.Sub(c.began)
+		if s.isFirst() && refuseEarly(e, c.elapsed(), c.route.Objective, c.route.Timeout, callerTimeout) {
 			c.refuse(http.StatusServiceUnavailable, reasonOverload)
 			return
 		}
@@ -55,7 +55,7 @@
 		if !reserved {
 			continue
 		}
-		if s.why = c.mayAttempt(); s.why != "" {
+		if s.endReason = c.attemptRefusal(); s.endReason != "" {
 			permit.unused()
 			c.unpin(e)
 			break
@@ -64,11 +64,11 @@
 			return
 		}
 	}
-	c.endSearch(ctx, s.why)
+	c.endSearch(ctx, s.endReason)
 }
 
-// reserve takes what a send to an engine needs: a permit where the engine names a limit, and
-// the adapter's pin. It returns false, with nothing kept, where either is not to be had.
+// reserve acquires what a send to an engine needs: a permit if the engine names a limit, and
+// the adapter's pin. If either is refused, it releases the other one and returns false.
 func (c *call) reserve(ctx context.Context, s *engineSearch, e *candidate) (sandbarrow.AdapterVersion, *sendPermit, bool) {
 	permit, granted := c.permitSend(ctx, e.instance)
 	if !granted {
@@ -87,8 +87,8 @@
 	return version, permit, true
 }
 
-// mayAttempt returns why the request may not be sent to one more engine; "" where it may.
-func (c *call) mayAttempt() reason {
+// attemptRefusal returns why the request may not be sent to one more engine; "" if it may.
+func (c *call) attemptRefusal() reason {
 	if why := c.refusalBeforeSend(); why != "" {
 		return why
 	}
@@ -98,64 +98,64 @@
 	return ""
 }
 
-// awaitEngines waits a moment where no engine can serve the request, as right
-// after a start, and reports whether to look again.
+// awaitEngines waits for pollInterval, because no engine can serve the request yet, as right
+// after a start. It reports whether to choose again.
 func (c *call) awaitEngines(ctx context.Context) bool {
-	if c.elapsed() > enginesWait {
+	if c.elapsed() > maxEnginesWait {
 		return false
 	}
-	pause.For(ctx, lookPause)
+	pause.For(ctx, pollInterval)
 	return ctx.Err() == nil
 }
 
-// pinAt pins the adapter at an engine and returns the version to run. It returns
-// false where the engine does not grant it or drains by now.
+// pinAt pins the adapter at an engine and returns the version to run. It returns false if
+// the engine refuses the pin or has begun to drain.
 func (c *call) pinAt(ctx context.Context, s *engineSearch, e *candidate) (sandbarrow.AdapterVersion, bool) {
-	if s.busy >= maxBusy {
+	if s.busyRetries >= maxBusyRetries {
 		e.spareTokens = 0
 	}
 	grant, granted := c.acquire(ctx, e, acquireWaits[s.acquires])
 	if grant.Refused == enginelink.RefuseBusy {
 		e.link.setWaiting(&grant)
-		s.busy++
+		s.busyRetries++
 		return 0, false
 	}
 	if granted && grant.Version < c.leastVersion() {
 		// A newer version was named while the request waited for its adapter and for the
-		// prompts before it: it is asked for anew, also of this engine.
+		// prompts ahead of it. The newer one is acquired instead, possibly at this engine.
 		c.unpin(e)
 		c.logAttempt(e.instance.ID, "no-grant", causeNewerVersion, e)
 		return 0, false
 	}
-	s.asked(e.instance.ID, grant.Refused)
+	s.recordAcquire(e.instance.ID, grant.Refused)
 	if !granted {
-		s.why = reasonSlots
+		s.endReason = reasonSlots
 		c.logAttempt(e.instance.ID, "no-grant", string(grant.Refused), e)
 		return 0, false
 	}
 	if !c.gateway.upstreams.accepts(e.instance) {
-		c.unpin(e) // it began to drain while the adapter was loaded
-		s.why = reasonNoUpstream
+		c.unpin(e) // the engine began to drain while it loaded the adapter
+		s.endReason = reasonNoUpstream
 		return 0, false
 	}
 	e.granted = grant.Weights()
-	c.settleMove(e)
+	c.confirmMove(e)
 	return grant.Version, true
 }
 
-// acquire asks an engine's controller to pin the adapter. Without its controller
-// the request goes to an engine that is listed as holding the adapter, and the
-// engine itself refuses it where that is no longer so.
-func (c *call) acquire(ctx context.Context, e *candidate, patience time.Duration) (enginelink.Grant, bool) {
-	wait := min(patience, c.left())
-	ask := &enginelink.Acquire{
+// acquire requests a pin of the adapter from the engine's controller. If the controller is
+// not linked, the request goes to an engine that is listed with the adapter loaded. The
+// engine itself refuses it if the adapter is no longer loaded.
+func (c *call) acquire(ctx context.Context, e *candidate, maxWait time.Duration) (enginelink.Grant, bool) {
+	wait := min(maxWait, c.left())
+	request := &enginelink.Acquire{
 		Adapter: c.key.Adapter, ID: sandbarrow.RequestID(c.id), Instance: e.instance.ID, Model: c.key.Model,
-		MostWaiting: e.mostWaitingTokens(), Priority: c.priority(), Stretches: c.stretches, Tokens: c.tokens, Version: c.version, UsefulMS: c.useful(e).Milliseconds(),
+		MostWaiting: e.maxWaitingTokens(), Priority: c.priority(), Stretches: c.stretches, Tokens: c.tokens, Version: c.version, UsefulMS: c.objectiveSlack(e).Milliseconds(),
 		WaitMS: max(1, wait.Milliseconds()),
 	}
 	if !e.linked {
 		if e.link != nil {
-			e.link.takePin(ctx, ask)
+			e.link.takePin(ctx, request)
 		}
 		return enginelink.Grant{Version: c.version}, true
 	}
@@ -169,46 +169,46 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer c.gateway.upstreams.await(e.instance.ID, c, cancel)()
-	g, ok := e.link.acquire(ctx, ask)
+	g, ok := e.link.acquire(ctx, request)
 	if !ok {
-		g.Refused = refuseNoAnswer
+		g.Refused = refuseNoReply
 	}
 	return g, g.Refused == ""
 }
 
-// useful is how long a grant at an engine still lets the answer be in time; it may be
-// negative.
-func (c *call) useful(e *candidate) time.Duration {
+// objectiveSlack returns how long the request may still wait for a grant at an engine and
+// meet its objective. It may be negative.
+func (c *call) objectiveSlack(e *candidate) time.Duration {
 	return c.untilObjective() - e.speed().Read(e.unread(c.tokens))
 }
 
-// unpin ends the pin at an engine.
+// unpin releases the pin at an engine.
 func (c *call) unpin(e *candidate) {
 	if e.link != nil {
 		e.link.report(enginelink.MethodDone, sandbarrow.RequestID(c.id))
 	}
 }
 
-// attemptEngine makes one attempt and reports whether the call has ended with it.
+// attemptEngine makes one attempt and reports whether it has ended the call.
 func (c *call) attemptEngine(ctx context.Context, s *engineSearch, e *candidate, version sandbarrow.AdapterVersion, permit *sendPermit) bool {
 	result := c.tryEngine(ctx, e, version)
 	c.unpin(e)
-	if result == verdictNotSent {
+	if result == resultNotSent {
 		permit.unused()
 	}
-	if result != verdictAnswered {
+	if result != resultAnswered {
 		c.logAttempt(e.instance.ID, result.String(), c.cause, e)
 	}
-	next, mayHaveRun, why := afterAttempt(result, c.committed, c.route.Repeatable())
+	next, mayHaveRun, endReason := afterAttempt(result, c.committed, c.route.Repeatable())
 	if mayHaveRun {
 		c.ran++
 	}
-	s.why = why
+	s.endReason = endReason
 	switch next {
 	case stepDone:
 		return true
 	case stepAbort:
-		c.abort(why)
+		c.abort(endReason)
 	case stepPassFailure:
 		c.pass(c.failure)
 		return true
@@ -216,7 +216,7 @@
 	return false
 }
 
-// endSearch ends a call that no engine answered.
+// endSearch ends a call that no engine has served.
 func (c *call) endSearch(ctx context.Context, why reason) {
 	switch {
 	case c.committed:
@@ -228,8 +228,8 @@
 	}
 }
 
-// tryEngine sends the request to one engine and passes its answer on.
-func (c *call) tryEngine(ctx context.Context, e *candidate, version sandbarrow.AdapterVersion) verdict {
+// tryEngine sends the request to one engine and passes its response on.
+func (c *call) tryEngine(ctx context.Context, e *candidate, version sandbarrow.AdapterVersion) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	p := &progress{start: time.Now()}
@@ -242,28 +242,28 @@
 	c.gateway.upstreams.begin(e.instance.ID)
 	result := c.runEngine(ctx, e, version, p)
 	c.gateway.crashes.Attempted()
-	if result == verdictBroken && !p.proven {
+	if result == resultBroken && !p.proven {
 		c.noteBroken(ctx, e.instance)
 	}
-	failed := result == verdictBroken && c.request.Context().Err() == nil || result == verdictFailed || result == verdictNotSent
+	failed := result == resultBroken && c.request.Context().Err() == nil || result == resultFailed || result == resultNotSent
 	c.gateway.upstreams.end(e.instance.ID, failed)
 	return result
 }
 
-// runEngine makes the exchange of one attempt.
-func (c *call) runEngine(ctx context.Context, e *candidate, version sandbarrow.AdapterVersion, p *progress) verdict {
+// runEngine sends the request of one attempt and handles the response.
+func (c *call) runEngine(ctx context.Context, e *candidate, version sandbarrow.AdapterVersion, p *progress) attemptResult {
 	a, sent, err := c.send(ctx, e.instance, version)
 	switch {
 	case errors.Is(err, forward.ErrNotSent):
-		return c.end(ctx, verdictNotSent, err)
+		return c.failAttempt(ctx, resultNotSent, err)
 	case err != nil:
-		return c.end(ctx, verdictBroken, err)
+		return c.failAttempt(ctx, resultBroken, err)
 	}
 	defer a.Close()
 	c.gateway.upstreams.observe(e.instance, sent, a)
 	if c.notRun(a) {
-		_, _ = a.Body(maxAnswerBytes) // read so that the connection can be kept
-		return c.end(ctx, verdictNotRun, errors.Errorf("status %d", a.Status))
+		_, _ = a.Body(maxAnswerBytes) // the body must be read before the connection can be reused
+		return c.failAttempt(ctx, resultNotRun, errors.Errorf("status %d", a.Status))
 	}
 	if a.Status != http.StatusOK || !strings.HasPrefix(a.Header.Get("Content-Type"), streamMediaType) {
 		return c.passWhole(ctx, a)
@@ -271,12 +271,12 @@
 	return c.passEvents(ctx, a, e, p)
 }
 
-// end keeps why an attempt did not answer, and returns its verdict. An attempt that
-// watchProgress ended failed for that, whatever error followed.
-func (c *call) end(ctx context.Context, v verdict, err error) verdict {
+// failAttempt stores the cause of a failed attempt and returns its result. If watchProgress
+// cancelled the attempt, the stall is the cause, whatever error followed.
+func (c *call) failAttempt(ctx context.Context, result attemptResult, err error) attemptResult {
 	if cause := context.Cause(ctx); errors.Is(cause, errStalled) {
 		err = cause
 	}
 	c.cause = err.Error()
-	return v
+	return result
 }
--- a/gateway/serveplain.go
+++ b/gateway/serveplain.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	// hedgeObjectives is after how many objectives a repeatable request without an answer is sent
-	// elsewhere: an answer as late as that has lost its credit.
-	hedgeObjectives = 2
-	// serviceDelay is the assumed time of a request at a plain service; it weighs requests in
-	// flight against failures and domains.
-	serviceDelay = 30 * time.Millisecond
+	// hedgeObjectiveFactor, times the objective, is the time after which a repeatable request
+	// without a response is sent to another upstream. A response that late has lost its value.
+	hedgeObjectiveFactor = 2
+	// plainRequestDelay is the assumed duration of a request at a plain service. It weighs
+	// requests in flight against penalties for failures and for other failure domains.
+	plainRequestDelay = 30 * time.Millisecond
 )
 
-// servePlain serves a request of a plain service.
+// servePlain serves a request for a plain service.
 func (c *call) servePlain(ctx context.Context) {
 	excluded := map[sandbarrow.InstanceID]bool{}
 	why := reasonNoUpstream
-	for ctx.Err() == nil && c.left() > leastSend {
+	for ctx.Err() == nil && c.left() > minSendTime {
 		c.holdSuspect(ctx)
 		in := c.gateway.choosePlain(c, excluded)
 		if in == nil {
@@ -81,7 +81,7 @@
 	c.giveUp(ctx, why)
 }
 
-// logPlainAttempt writes a line for an attempt that did not end the call well.
+// logPlainAttempt logs an attempt that did not complete the call successfully.
 func (c *call) logPlainAttempt(id sandbarrow.InstanceID, got *wholeAnswer, err error) {
 	switch {
 	case err != nil:
@@ -91,13 +91,13 @@
 	}
 }
 
-// tryPlain sends the request to one upstream and reads the complete answer. Where
-// another upstream may still run the request, it does not wait for much longer
-// than the objective.
+// tryPlain sends the request to one upstream and reads the complete response. If the request
+// may still be sent to another upstream, the attempt is limited to hedgeObjectiveFactor
+// times the objective.
 func (c *call) tryPlain(ctx context.Context, in *sandbarrow.Instance) (*wholeAnswer, error) {
 	if c.route.Repeatable() && c.ran+1 < c.route.MaxAttempts && c.route.Objective > 0 && c.route.Kind != route.KindStream {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, hedgeObjectives*c.route.Objective)
+		ctx, cancel = context.WithTimeout(ctx, hedgeObjectiveFactor*c.route.Objective)
 		defer cancel()
 	}
 	c.gateway.upstreams.begin(in.ID)
@@ -111,7 +111,7 @@
 	return got, err
 }
 
-// exchange makes the exchange of one attempt.
+// exchange sends the request of one attempt and reads the response.
 func (c *call) exchange(ctx context.Context, in *sandbarrow.Instance) (*wholeAnswer, error) {
 	a, sent, err := c.send(ctx, in, 0)
 	if err != nil {
@@ -126,29 +126,29 @@
 	return &wholeAnswer{answer: a, body: body}, nil
 }
 
-// choosePlain decides which upstream of a plain service gets a request: the one
-// with the least expected delay, or nil.
+// choosePlain decides which upstream of a plain service gets a request: the one with the lowest
+// expected delay, or nil.
 //
-// Inputs: whether it accepts requests now, this gateway's requests in flight there for each slot,
-// the penalty for recent failures, and the failure domain. The load from other gateways is not
-// known. It begins with any of them: of those that cost the same the first is chosen, and gateways
-// that know the same must not all choose the same one.
+// Inputs: whether an upstream accepts requests now, this gateway's requests in flight there per
+// slot, the penalty for recent failures, and the failure domain. The load from other gateways is
+// unknown. The search starts at a random upstream: of upstreams with equal cost the first is
+// chosen, and gateways with the same state must not all choose the same one.
 func (g *Gateway) choosePlain(c *call, excluded map[sandbarrow.InstanceID]bool) *sandbarrow.Instance {
 	now := boottime.Now()
-	c.blocked.choose()
+	c.blocked.reset()
 	var best *sandbarrow.Instance
 	var bestCost time.Duration
 	list := g.directory.View().Service(c.service.ID)
 	first := rand.IntN(max(1, len(list)))
 	for i := range list {
 		in := list[(first+i)%len(list)]
-		look, may := c.look(now, in, availability.Report{}, excluded)
-		if !may {
+		look, allowed := c.look(now, in, availability.Report{}, excluded)
+		if !allowed {
 			continue
 		}
-		cost := look.Price + time.Duration(look.InFlight)*serviceDelay/time.Duration(max(1, in.Slots))
+		cost := look.Price + time.Duration(look.InFlight)*plainRequestDelay/time.Duration(max(1, in.Slots))
 		if in.FailureDomain != g.config.Domain {
-			cost += domainDelay
+			cost += crossDomainPenalty
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = in, cost
--- a/gateway/staleprompt_test.go
+++ b/gateway/staleprompt_test.go
@@ -11,66 +11,65 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-func TestPromptMemoryIsOfTheWeightsThatRun(t *testing.T) {
+func TestMovedPromptCacheMatchesRunningWeights(t *testing.T) {
 	for name, tc := range map[string]struct {
-		keeper, taker testWeights
-		moves         bool
+		source, target testWeights
+		moves          bool
 	}{
-		"the same weights":                   {testWeights{model: 1, adapter: 1}, testWeights{model: 1, adapter: 1}, true},
-		"a newer base model":                 {testWeights{model: 1, adapter: 1}, testWeights{model: 7, adapter: 1}, false},
-		"an older base model":                {testWeights{model: 7, adapter: 1}, testWeights{model: 1, adapter: 1}, false},
-		"a newer adapter than was asked for": {testWeights{model: 1, adapter: 1}, testWeights{model: 1, adapter: 2}, false},
-		"an older adapter":                   {testWeights{model: 1, adapter: 2}, testWeights{model: 1, adapter: 1}, false},
-		"a base model not reported":          {testWeights{model: 0, adapter: 1}, testWeights{model: 0, adapter: 1}, false},
+		"the same weights":               {testWeights{model: 1, adapter: 1}, testWeights{model: 1, adapter: 1}, true},
+		"a newer base model":             {testWeights{model: 1, adapter: 1}, testWeights{model: 7, adapter: 1}, false},
+		"an older base model":            {testWeights{model: 7, adapter: 1}, testWeights{model: 1, adapter: 1}, false},
+		"a newer adapter than requested": {testWeights{model: 1, adapter: 1}, testWeights{model: 1, adapter: 2}, false},
+		"an older adapter":               {testWeights{model: 1, adapter: 2}, testWeights{model: 1, adapter: 1}, false},
+		"a base model not reported":      {testWeights{model: 0, adapter: 1}, testWeights{model: 0, adapter: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 0)
 			f.configure(t, streamRoute(true))
-			keeper, taker := f.runners[0], f.runners[1]
-			keeper.run(tc.keeper)
-			taker.run(testWeights{model: tc.taker.model})
+			source, target := f.runners[0], f.runners[1]
+			source.setWeights(tc.source)
+			target.setWeights(testWeights{model: tc.target.model})
 			f.awaitStatuses(t)
-			f.readPrompt(t, "read")
-			assert.DeepEqual(t, keeper.runs(), []string{"read"})
+			f.sendSharedPrompt(t, "read")
+			assert.DeepEqual(t, source.runs(), []string{"read"})
 
-			f.occupy(t, keeper)
-			taker.run(tc.taker)
+			f.keepBusy(t, source)
+			target.setWeights(tc.target)
 			f.awaitStatuses(t)
-			f.readPrompt(t, "shared")
-			assert.DeepEqual(t, taker.runs(), []string{"shared"})
-			assert.Equal(t, taker.memory.stale, 0, "ran on memory of other weights")
-			assert.Equal(t, taker.memory.taken > 0, tc.moves, "took memory from another engine")
+			f.sendSharedPrompt(t, "shared")
+			assert.DeepEqual(t, target.runs(), []string{"shared"})
+			assert.Equal(t, target.memory.stale, 0, "used prompt parts of other weights")
+			assert.Equal(t, target.memory.moved > 0, tc.moves, "moved prompt parts from another engine")
 		})
 	}
 }
 
-func TestPromptMemoryIsSettledByTheGrant(t *testing.T) {
+func TestMoveIsDroppedIfGrantedWeightsDiffer(t *testing.T) {
 	for name, change := range map[string]func(*runner){
-		"the base model":       func(r *runner) { r.run(testWeights{model: 7}) },
-		"what a load brings":   func(r *runner) { r.set(func() { r.newest = 2 }) },
-		"nothing, for control": func(*runner) {},
+		"the base model has changed":      func(r *runner) { r.setWeights(testWeights{model: 7}) },
+		"the load yields a newer adapter": func(r *runner) { r.set(func() { r.newest = 2 }) },
+		"no change, for control":          func(*runner) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 0)
 			f.configure(t, streamRoute(true))
-			keeper, taker := f.runners[0], f.runners[1]
-			keeper.run(testWeights{model: 1, adapter: 1})
+			source, target := f.runners[0], f.runners[1]
+			source.setWeights(testWeights{model: 1, adapter: 1})
 			f.awaitStatuses(t)
-			f.readPrompt(t, "read")
-			f.occupy(t, keeper)
+			f.sendSharedPrompt(t, "read")
+			f.keepBusy(t, source)
 			f.awaitStatuses(t)
-			change(taker)
-			f.readPrompt(t, "shared")
-			assert.DeepEqual(t, taker.runs(), []string{"shared"})
-			assert.Equal(t, taker.memory.stale, 0, "ran on memory of other weights")
-			assert.Equal(t, taker.memory.taken > 0, name == "nothing, for control")
+			change(target)
+			f.sendSharedPrompt(t, "shared")
+			assert.DeepEqual(t, target.runs(), []string{"shared"})
+			assert.Equal(t, target.memory.stale, 0, "used prompt parts of other weights")
+			assert.Equal(t, target.memory.moved > 0, name == "no change, for control")
 		})
 	}
 }
 
-// run makes the engine hold the base model and, where it is named, the adapter of the
-// tests' streams.
-func (r *runner) run(w testWeights) {
+// setWeights sets the engine's version of the base model and, if it is not 0, of the adapter.
+func (r *runner) setWeights(w testWeights) {
 	r.set(func() {
 		r.modelVersion = w.model
 		if w.adapter > 0 {
@@ -79,8 +78,8 @@
 	})
 }
 
-// readPrompt has one engine read a prompt whose first 8,000 tokens all requests share.
-func (f *fleet) readPrompt(t *testing.T, id string) {
+// sendSharedPrompt sends a prompt whose first 8,000 tokens are the same in all requests.
+func (f *fleet) sendSharedPrompt(t *testing.T, id string) {
 	t.Helper()
 	got := f.send(t.Context(), http.MethodPost, "/s/", map[string]string{
 		testNames.Deadline: "5000", testNames.Model: adapterHeader[testNames.Model], testNames.Prompt: "5c:8000," + id + ":500",
@@ -90,9 +89,9 @@
 	assert.Equal(t, got.status, http.StatusOK, got.body)
 }
 
-// occupy makes an engine that holds the adapter dear: it gets a long prompt and does not
-// begin its answer while the test runs.
-func (f *fleet) occupy(t *testing.T, r *runner) {
+// keepBusy raises the cost of an engine that has the adapter loaded. It sends the engine a
+// long prompt, to which the engine does not respond while the test runs.
+func (f *fleet) keepBusy(t *testing.T, r *runner) {
 	t.Helper()
 	r.set(func() { r.hang = true })
 	ctx, cancel := context.WithCancel(t.Context())
@@ -104,16 +103,16 @@
 	eventually(t, func() bool { return len(r.runs()) == 2 })
 }
 
-// awaitStatuses waits until the gateway has two more statuses of each engine: what an
-// engine keeps is reported right after each status, so that by the second one the gateway
-// knows all that was so at the call.
+// awaitStatuses waits until the gateway has received two more statuses from each engine. The
+// cached prefixes of an engine are reported right after each status. With the second status
+// the gateway has therefore received everything that was cached when the wait began.
 func (f *fleet) awaitStatuses(t *testing.T) {
 	t.Helper()
 	for range 2 {
 		before := time.Now()
 		eventually(t, func() bool {
 			for _, in := range f.gateway.directory.View().Service(testEngines) {
-				if !f.gateway.engines.link(in.Address).contact().After(before) {
+				if !f.gateway.engines.link(in.Address).lastContactTime().After(before) {
 					return false
 				}
 			}
@@ -122,8 +121,8 @@
 	}
 }
 
-// contact is when the last status arrived.
-func (l *controllerLink) contact() time.Time {
+// lastContactTime returns the time at which the last status arrived.
+func (l *controllerLink) lastContactTime() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastContact
@@ -135,42 +134,42 @@
 	model   sandbarrow.ModelVersion
 }
 
-// testMemory is what a fake engine keeps of the prompts that it has read, by the weights
-// with which each part was made. Memory that it takes from another engine is not checked.
+// testMemory is the prompt cache of a fake engine. It maps each part of a prompt to the
+// weights it was computed with. Parts copied from another engine are not verified.
 type testMemory struct {
-	made map[string]testWeights
-	// stale counts the parts of other weights that were used, taken all parts that came
+	weights map[string]testWeights
+	// stale counts the parts of other weights that were used, moved all parts that were copied
 	// from another engine.
-	stale, taken int
+	stale, moved int
 }
 
-// take copies what another engine keeps of a prompt and this one does not.
-func (m *testMemory) take(from *testMemory, parts []string) {
+// copyFrom copies the parts of a prompt that another engine has cached and this one has not.
+func (m *testMemory) copyFrom(from *testMemory, parts []string) {
 	for _, part := range parts {
-		made, kept := from.made[part]
-		if !kept {
+		weights, cached := from.weights[part]
+		if !cached {
 			return
 		}
-		if _, known := m.made[part]; !known {
-			m.keep(part, made)
-			m.taken++
+		if _, known := m.weights[part]; !known {
+			m.put(part, weights)
+			m.moved++
 		}
 	}
 }
 
-// use runs a prompt: it reuses what is kept of it, and keeps the rest.
-func (m *testMemory) use(w testWeights, parts []string) {
+// run runs a prompt: it reuses the cached parts and caches the others.
+func (m *testMemory) run(w testWeights, parts []string) {
 	for _, part := range parts {
-		if made, kept := m.made[part]; kept && made != w {
+		if weights, cached := m.weights[part]; cached && weights != w {
 			m.stale++
 		}
-		m.keep(part, w)
+		m.put(part, w)
 	}
 }
 
-func (m *testMemory) keep(part string, w testWeights) {
-	if m.made == nil {
-		m.made = map[string]testWeights{}
+func (m *testMemory) put(part string, w testWeights) {
+	if m.weights == nil {
+		m.weights = map[string]testWeights{}
 	}
-	m.made[part] = w
+	m.weights[part] = w
 }
--- a/gateway/unreportedpin_test.go
+++ b/gateway/unreportedpin_test.go
@@ -64,23 +64,23 @@
 }
 
 func TestPinBeforeTheFirstStatusIsReported(t *testing.T) {
-	l := &controllerLink{gateway: chooserOf(t)}
-	l.applyStatus(statusOf(oldWeights)) // of the last connection
+	l := &controllerLink{gateway: newChoosingGateway(t)}
+	l.applyStatus(statusWithWeights(oldWeights)) // of the last connection
 	c := linkedTo(t, l)
 	c.send(t)
-	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusOf(oldWeights)))
+	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
 	c.expect(t, enginelink.MethodUsing)
 }
 
 func TestPinDuringASilenceIsReported(t *testing.T) {
-	l := &controllerLink{gateway: chooserOf(t)}
+	l := &controllerLink{gateway: newChoosingGateway(t)}
 	c := linkedTo(t, l)
-	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusOf(oldWeights)))
+	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
 	eventually(t, func() bool { return l.view(boottime.Now(), callFor(l.gateway, "a", 1)).linked })
 	l.mu.Lock()
 	l.lastContact = boottime.Now().Add(-enginelink.HeartbeatTimeout) // the last status is old, the connection still there
 	l.mu.Unlock()
 	c.send(t)
-	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusOf(oldWeights)))
+	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
 	c.expect(t, enginelink.MethodUsing)
 }
