--- a/agent/admissions.go
+++ b/agent/admissions.go
@@ -23,7 +23,7 @@
 	reader   sandbarrow.AnnouncementReader
 
 	mu      sync.Mutex
-	keeper  throttle.Keeper
+	keeper  throttle.Coordinator
 	notices availability.Notices
 }
 
@@ -43,7 +43,7 @@
 func (s *admissions) admit(now time.Time, counted bool) admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	notice := s.notices.Look(now, s.instance)
+	notice := s.notices.Check(now, s.instance)
 	switch {
 	case notice.Draining:
 		return admission{counted: counted, refusal: drainingRefusal()}
@@ -56,7 +56,7 @@
 	if !known || record.Ended {
 		return admission{}
 	}
-	grant := s.keeper.Take(now, record, 0)
+	grant := s.keeper.Acquire(now, record, 0)
 	if !grant.Granted {
 		return admission{refusal: sandbarrow.NotRun(sandbarrow.ReasonUpstreamLimit, "the upstream takes no more requests now", grant.Wait)}
 	}
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if record, limited := s.keeper.Record(now, s.instance); limited {
-		s.keeper.Spent(now, record, sends)
+		s.keeper.CountSends(now, record, sends)
 	}
 }
 
@@ -97,7 +97,7 @@
 	limitChanged := false
 	if err == nil {
 		var says bool
-		if said, says = throttle.LimitOf(now, sent, status, announced.Limit); says {
+		if said, says = throttle.LimitFromResponse(now, sent, status, announced.Limit); says {
 			limitChanged = s.keeper.Apply(now, s.instance, said)
 		}
 	}
@@ -118,14 +118,14 @@
 func (s *admissions) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.notices.Look(boottime.Now(), s.instance).Draining
+	return s.notices.Check(boottime.Now(), s.instance).Draining
 }
 
 // wantsNone reports whether the upstream accepts no requests and orders now.
 func (s *admissions) wantsNone(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	notice := s.notices.Look(now, s.instance)
+	notice := s.notices.Check(now, s.instance)
 	return notice.Draining || notice.Backoff > 0
 }
 
--- a/availability/end_test.go
+++ b/availability/end_test.go
@@ -13,15 +13,15 @@
 	for name, c := range map[string]struct {
 		listed *sandbarrow.Instance
 		report Report
-		want   EndEvidence
+		want   ExitEvidence
 	}{
 		"nothing known":       {nil, Report{}, ""},
 		"the same":            {in, Report{Instance: upstream}, ""},
 		"start not known":     {&sandbarrow.Instance{ID: "u"}, Report{Instance: "u"}, ""},
-		"another start":       {&sandbarrow.Instance{ID: restart}, Report{}, EndReplaced},
-		"another upstream":    {&sandbarrow.Instance{ID: "v"}, Report{}, EndReplaced},
-		"controller saw more": {in, Report{Instance: restart}, EndRestarted},
+		"another start":       {&sandbarrow.Instance{ID: restart}, Report{}, ExitReplaced},
+		"another upstream":    {&sandbarrow.Instance{ID: "v"}, Report{}, ExitReplaced},
+		"controller saw more": {in, Report{Instance: restart}, ExitRestarted},
 	} {
-		assert.Equal(t, FindEnd(in, c.listed, c.report), c.want, name)
+		assert.Equal(t, DetectExit(in, c.listed, c.report), c.want, name)
 	}
 }
--- a/availability/notices.go
+++ b/availability/notices.go
@@ -90,10 +90,10 @@
 	return change
 }
 
-// Ended notes that nothing listened at the address of a start: what it has announced is not said of
+// Exited notes that nothing listened at the address of a start: what it has announced is not said of
 // what answers there later, and the reverse. Of an upstream that does not say when it started, all
 // starts have one id, and the next one has announced nothing.
-func (n *Notices) Ended(now time.Time, id sandbarrow.InstanceID) {
+func (n *Notices) Exited(now time.Time, id sandbarrow.InstanceID) {
 	if id == sandbarrow.InstanceID(id.Listed()) {
 		n.drop(id)
 		return
@@ -106,8 +106,8 @@
 	n.ended[id.Listed()] = id
 }
 
-// Look returns what an upstream has announced.
-func (n *Notices) Look(now time.Time, id sandbarrow.InstanceID) Notice {
+// Check returns what an upstream has announced.
+func (n *Notices) Check(now time.Time, id sandbarrow.InstanceID) Notice {
 	e := n.find(id)
 	if e == nil {
 		return Notice{}
@@ -131,7 +131,7 @@
 // may lag, or never show it; once it has, an entry that is ready again is that of another start,
 // also where neither says when it started.
 func (n *Notices) drains(now time.Time, in *sandbarrow.Instance) bool {
-	if !n.Look(now, in.ID).Draining {
+	if !n.Check(now, in.ID).Draining {
 		return in.Draining
 	}
 	e := n.byStart[in.ID]
--- a/availability/outcomes.go
+++ b/availability/outcomes.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Look returns the requests in flight at an upstream and the price of its failures.
-func (o *Outcomes) Look(now time.Time, id sandbarrow.InstanceID) (inFlight int, penalty time.Duration) {
+// Check returns the requests in flight at an upstream and the price of its failures.
+func (o *Outcomes) Check(now time.Time, id sandbarrow.InstanceID) (inFlight int, penalty time.Duration) {
 	r := o.upstreams[id]
 	if r == nil {
 		return 0, 0
--- a/availability/outcomes_test.go
+++ b/availability/outcomes_test.go
@@ -14,7 +14,7 @@
 	now := time.Now()
 	var table Outcomes
 	price := func() time.Duration {
-		_, penalty := table.Look(now, "a")
+		_, penalty := table.Check(now, "a")
 		return penalty
 	}
 	assert.Equal(t, price(), time.Duration(0))
@@ -27,12 +27,12 @@
 	now = now.Add(failureHalfLife)
 	assert.Assert(t, price() > failed*4/10 && price() < failed*6/10, "%v", price())
 	table.Begin(now, "a")
-	inFlight, _ := table.Look(now, "a")
+	inFlight, _ := table.Check(now, "a")
 	assert.Equal(t, inFlight, 1)
 	before := price()
 	table.End(now, "a", false)
 	assert.Assert(t, price() < before)
-	inFlight, _ = table.Look(now, "a")
+	inFlight, _ = table.Check(now, "a")
 	assert.Equal(t, inFlight, 0)
 }
 
@@ -50,6 +50,6 @@
 	table.Begin(now, "new")
 	assert.Equal(t, len(table.upstreams), 2)
 	table.End(now, "0", true)
-	inFlight, _ := table.Look(now, "0")
+	inFlight, _ := table.Check(now, "0")
 	assert.Equal(t, inFlight, 0)
 }
--- a/availability/table.go
+++ b/availability/table.go
@@ -36,8 +36,8 @@
 	Unreachable bool
 }
 
-// Look is one look at an upstream on behalf of a request.
-type Look struct {
+// Check is one look at an upstream on behalf of a request.
+type Check struct {
 	// Blocked is why the upstream accepts no request now; empty where it does.
 	Blocked Reason
 	// Wait is how long it is until the upstream may accept one; 0 where that is not known.
@@ -46,8 +46,8 @@
 	InFlight int
 	// Limited says that the upstream names a limit.
 	Limited bool
-	// Price is the delay that is worth as much as its failures and its limit.
-	Price time.Duration
+	// Penalty is the delay that is worth as much as its failures and its limit.
+	Penalty time.Duration
 }
 
 // Table keeps what a process knows of upstreams. The zero Table knows nothing.
@@ -57,14 +57,14 @@
 	Outcomes Outcomes
 }
 
-// Look decides whether a request may be sent to an upstream now, and else when.
+// Check decides whether a request may be sent to an upstream now, and else when.
 //
 // Inputs: the upstream's entry in the list, the last report of its controller, and what this
 // table keeps.
-func (t *Table) Look(now time.Time, in *sandbarrow.Instance, r Report) Look {
-	wait, price := t.Gates.Look(now, in.ID)
-	backoff := t.Notices.Look(now, in.ID).Backoff
-	l := Look{Limited: price != 0, Price: price}
+func (t *Table) Check(now time.Time, in *sandbarrow.Instance, r Report) Check {
+	wait, price := t.Gates.Check(now, in.ID)
+	backoff := t.Notices.Check(now, in.ID).Backoff
+	l := Check{Limited: price != 0, Penalty: price}
 	switch {
 	case r.Draining || t.Notices.drains(now, in):
 		l.Blocked = Draining
@@ -77,9 +77,9 @@
 	case wait > 0:
 		l.Blocked, l.Wait = Limited, wait
 	}
-	inFlight, penalty := t.Outcomes.Look(now, in.ID)
+	inFlight, penalty := t.Outcomes.Check(now, in.ID)
 	l.InFlight = inFlight
-	l.Price += penalty
+	l.Penalty += penalty
 	return l
 }
 
@@ -94,7 +94,7 @@
 		return Unlisted, false
 	case t.Notices.drains(now, listed):
 		return Draining, false
-	case t.Notices.Look(now, listed.ID).Backoff > 0:
+	case t.Notices.Check(now, listed.ID).Backoff > 0:
 		return Backoff, false
 	}
 	return "", true
@@ -103,7 +103,7 @@
 // End counts the outcome of a request that Outcomes.Begin has counted. A refusal that says when
 // to come back is no failure: the upstream would be avoided for longer than it wants.
 func (t *Table) End(now time.Time, id sandbarrow.InstanceID, failed bool) {
-	if failed && t.Notices.Look(now, id).Backoff > 0 {
+	if failed && t.Notices.Check(now, id).Backoff > 0 {
 		t.Outcomes.Withdraw(id)
 		return
 	}
--- a/availability/table_test.go
+++ b/availability/table_test.go
@@ -19,34 +19,34 @@
 		in     *sandbarrow.Instance
 		report Report
 		know   func(*Table)
-		want   Look
+		want   Check
 	}{
-		"nothing known":    {ready, Report{}, nil, Look{}},
-		"linked":           {ready, Report{Instance: upstream}, nil, Look{}},
-		"listed as such":   {draining, Report{}, nil, Look{Blocked: Draining}},
-		"reported as such": {ready, Report{Draining: true}, nil, Look{Blocked: Draining}},
+		"nothing known":    {ready, Report{}, nil, Check{}},
+		"linked":           {ready, Report{Instance: upstream}, nil, Check{}},
+		"listed as such":   {draining, Report{}, nil, Check{Blocked: Draining}},
+		"reported as such": {ready, Report{Draining: true}, nil, Check{Blocked: Draining}},
 		"it says so itself": {ready, Report{}, func(x *Table) {
 			x.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
-		}, Look{Blocked: Draining}},
+		}, Check{Blocked: Draining}},
 		"its last start said so": {ready, Report{}, func(x *Table) {
 			x.Notices.Apply(now, restart, http.StatusOK, sandbarrow.Announcement{Draining: true})
-		}, Look{}},
+		}, Check{}},
 		"it wants none for a time": {ready, Report{}, func(x *Table) {
 			x.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
-		}, Look{Blocked: Backoff, Wait: time.Second}},
-		"unreachable": {ready, Report{Unreachable: true}, nil, Look{Blocked: Unreachable}},
-		"replaced":    {ready, Report{Instance: restart}, nil, Look{Blocked: Replaced}},
-		"in flight":   {ready, Report{}, func(x *Table) { x.Outcomes.Begin(now, upstream) }, Look{InFlight: 1}},
+		}, Check{Blocked: Backoff, Wait: time.Second}},
+		"unreachable": {ready, Report{Unreachable: true}, nil, Check{Blocked: Unreachable}},
+		"replaced":    {ready, Report{Instance: restart}, nil, Check{Blocked: Replaced}},
+		"in flight":   {ready, Report{}, func(x *Table) { x.Outcomes.Begin(now, upstream) }, Check{InFlight: 1}},
 		"its turn comes later": {ready, Report{}, func(x *Table) {
 			x.Gates.Apply(now, upstream, throttle.Limit{At: now, Rate: 0.5})
 			x.Gates.Begin(now, upstream)
-		}, Look{Blocked: Limited, Limited: true, Price: 100 * time.Millisecond, Wait: 2 * time.Second}},
+		}, Check{Blocked: Limited, Limited: true, Penalty: 100 * time.Millisecond, Wait: 2 * time.Second}},
 	} {
 		var table Table
 		if c.know != nil {
 			c.know(&table)
 		}
-		assert.Equal(t, table.Look(now, c.in, c.report), c.want, name)
+		assert.Equal(t, table.Check(now, c.in, c.report), c.want, name)
 	}
 }
 
@@ -71,9 +71,9 @@
 		var table Table
 		table.Notices.Apply(now, id, http.StatusOK, sandbarrow.Announcement{Draining: true})
 		ready, draining := &sandbarrow.Instance{ID: id}, &sandbarrow.Instance{Draining: true, ID: id}
-		assert.Equal(t, table.Look(now, ready, Report{}).Blocked, Draining, "the list lags")
-		assert.Equal(t, table.Look(now, draining, Report{}).Blocked, Draining)
-		assert.Equal(t, table.Look(now, ready, Report{}).Blocked, Reason(""), "it has started again")
+		assert.Equal(t, table.Check(now, ready, Report{}).Blocked, Draining, "the list lags")
+		assert.Equal(t, table.Check(now, draining, Report{}).Blocked, Draining)
+		assert.Equal(t, table.Check(now, ready, Report{}).Blocked, Reason(""), "it has started again")
 	}
 }
 
@@ -89,8 +89,8 @@
 	now = now.Add(time.Second)
 	_, accepts = table.Accepts(now, ready)
 	assert.Assert(t, accepts)
-	assert.Equal(t, table.Look(now, ready, Report{}), Look{}, "nothing is left of it")
+	assert.Equal(t, table.Check(now, ready, Report{}), Check{}, "nothing is left of it")
 	table.Outcomes.Begin(now, upstream)
 	table.End(now, upstream, true)
-	assert.Assert(t, table.Look(now, ready, Report{}).Price > 0, "a failure without a time")
+	assert.Assert(t, table.Check(now, ready, Report{}).Penalty > 0, "a failure without a time")
 }
--- a/controller/reading.go
+++ b/controller/reading.go
@@ -63,7 +63,7 @@
 func (r *reading) publishedSpeed() readspeed.Speed {
 	const tokens = 3000 // of a prompt of middling length
 	now, last := r.speed.Speed(), r.published
-	change := float64(now.Read(tokens)-last.Read(tokens)) / float64(now.Read(tokens))
+	change := float64(now.TimeToFirstEvent(tokens)-last.TimeToFirstEvent(tokens)) / float64(now.TimeToFirstEvent(tokens))
 	if change > speedStep || change < -speedStep {
 		r.published = now
 	}
--- a/controller/reading_test.go
+++ b/controller/reading_test.go
@@ -47,10 +47,10 @@
 			if free.Before(now) {
 				free = now
 			}
-			free = free.Add(engine.Read(p.unread))
+			free = free.Add(engine.TimeToFirstEvent(p.unread))
 			under = append(under, read{free, p})
 		}
 		got := r.speed.Speed()
-		assert.Check(t, got.Read(6000) > engine.Read(6000)*7/10 && got.Read(6000) < engine.Read(6000)*13/10, "%s: %v", name, got)
+		assert.Check(t, got.TimeToFirstEvent(6000) > engine.TimeToFirstEvent(6000)*7/10 && got.TimeToFirstEvent(6000) < engine.TimeToFirstEvent(6000)*13/10, "%s: %v", name, got)
 	}
 }
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -38,7 +38,7 @@
 	if len(models) == 0 {
 		s.memory.Forget()
 	}
-	s.memory.Note(maps.All(held))
+	s.memory.MarkLoaded(maps.All(held))
 }
 
 // applyModels keeps which versions of base models the engine holds. Where one has changed,
--- a/enginelink/sendkeeper.go
+++ b/enginelink/sendkeeper.go
@@ -16,12 +16,12 @@
 // concurrent use.
 type SendKeeper struct {
 	mu     sync.Mutex
-	keeper throttle.Keeper
+	keeper throttle.Coordinator
 }
 
 // NewSendKeeper returns a keeper that grants one of so many parts of the limits.
 func NewSendKeeper(parts int) *SendKeeper {
-	return &SendKeeper{keeper: throttle.Keeper{Parts: parts}}
+	return &SendKeeper{keeper: throttle.Coordinator{Shares: parts}}
 }
 
 // Handle serves a message about limits; handled is false for any other one. changed has what
@@ -58,7 +58,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed = k.apply(now, q.Record)
-	g := k.keeper.Take(now, q.Record, time.Duration(q.WithinMS)*time.Millisecond)
+	g := k.keeper.Acquire(now, q.Record, time.Duration(q.WithinMS)*time.Millisecond)
 	grant = SendGrant{Granted: g.Granted, WaitMS: int64((g.Wait + time.Millisecond - 1) / time.Millisecond)}
 	if known, ok := k.keeper.Record(now, q.Instance); ok {
 		grant.Limit = &known
@@ -72,7 +72,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed = k.apply(now, s.Record)
-	k.keeper.Spent(now, s.Record, s.Sends)
+	k.keeper.CountSends(now, s.Record, s.Sends)
 	return changed
 }
 
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -87,7 +87,7 @@
 		if !v.retry || ctx.Err() != nil || j.stream.any() {
 			return wire.AttemptResult{}, refusal
 		}
-		if !v.free && !e.budget.Retry() {
+		if !v.free && !e.budget.AllowRetry() {
 			return wire.AttemptResult{}, refusal
 		}
 		if v.anywhere {
--- a/gateway/blocked.go
+++ b/gateway/blocked.go
@@ -40,7 +40,7 @@
 
 // record applies the result of a check of an upstream. excluded is set if the call does not
 // choose it again.
-func (b *blockedUpstreams) record(now time.Time, l *availability.Look, excluded bool) {
+func (b *blockedUpstreams) record(now time.Time, l *availability.Check, excluded bool) {
 	if l.Wait > 0 {
 		b.recordAcceptTime(now.Add(l.Wait), l.Blocked)
 	}
--- a/gateway/callsend.go
+++ b/gateway/callsend.go
@@ -19,7 +19,7 @@
 
 // look decides whether the request may be sent to an upstream now, and notes what it has seen;
 // excluded ones are those that the call does not choose again.
-func (c *call) look(now time.Time, in *sandbarrow.Instance, r availability.Report, excluded map[sandbarrow.InstanceID]bool) (l availability.Look, may bool) {
+func (c *call) look(now time.Time, in *sandbarrow.Instance, r availability.Report, excluded map[sandbarrow.InstanceID]bool) (l availability.Check, may bool) {
 	l = c.gateway.upstreams.look(now, in, r)
 	c.blocked.record(now, &l, excluded[in.ID])
 	return l, l.Blocked == "" && !excluded[in.ID]
@@ -28,7 +28,7 @@
 // permitSend asks for a send to an upstream. Where it takes no request now, the call looks for
 // another one; it waits for its turn only where all upstreams name a limit.
 func (c *call) permitSend(ctx context.Context, in *sandbarrow.Instance) (*sendPermit, bool) {
-	within := min(throttle.Within, c.left()/sendWithinParts)
+	within := min(throttle.MaxWait, c.left()/sendWithinParts)
 	if c.blocked.anyUnlimited {
 		within = 0
 	}
--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		e.remote = m.instance.FailureDomain != g.config.Domain
-		e.inFlight, e.cost = look.InFlight, look.Price
+		e.inFlight, e.cost = look.InFlight, look.Penalty
 		list = append(list, e)
 	}
 	return list
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -115,7 +115,7 @@
 // learnLoads follows the loads that a controller reports: last is what it reported before.
 func (g *Gateway) learnLoads(last, now enginelink.Loads) {
 	if now.Count != last.Count {
-		g.loadTimes.Learn(time.Duration(now.TookMS) * time.Millisecond)
+		g.loadTimes.ObserveLoad(time.Duration(now.TookMS) * time.Millisecond)
 	}
 }
 
--- a/gateway/enginecost.go
+++ b/gateway/enginecost.go
@@ -139,9 +139,9 @@
 // returns false if the engine can't serve the request. The penalty for recent failures is
 // already part of the cost.
 func (e *candidate) estimateCost(n *requirements, f *fleetStats) bool {
-	speed := e.speed().Toward(f.speed)
+	speed := e.speed().ShrinkToward(f.speed)
 	move := e.planMove(n, f)
-	read := move + speed.Read(e.unread(n.tokens))
+	read := move + speed.TimeToFirstEvent(e.unread(n.tokens))
 	e.cost += read
 	if e.remote {
 		e.cost += crossDomainPenalty
@@ -155,7 +155,7 @@
 	if !ok {
 		return false
 	}
-	wait += speed.Tokens(e.waitingTokens) + time.Duration(e.status.Running)*runningDelay
+	wait += speed.PrefillTime(e.waitingTokens) + time.Duration(e.status.Running)*runningDelay
 	e.cost += wait
 	if wait+read > n.untilObjective {
 		e.cost += latePenalty
--- a/gateway/enginecost_test.go
+++ b/gateway/enginecost_test.go
@@ -13,17 +13,17 @@
 )
 
 func TestNewFleetStats(t *testing.T) {
-	model := loadtime.Model{Alone: 200 * time.Millisecond, Carried: 8}
+	model := loadtime.Model{BaseTime: 200 * time.Millisecond, Capacity: 8}
 	for name, tc := range map[string]struct {
 		copies, loading int
 		copy, load      time.Duration
 	}{
-		"the first copy has no penalty":          {0, 0, 0, model.Alone},
-		"another copy":                           {1, 0, copyPenalty, model.Alone},
-		"as many loads as run at full speed":     {1, 7, copyPenalty, model.Alone},
-		"contention":                             {1, 11, copyPenalty * 3 / 2, model.Alone * 3 / 2},
-		"contention at most doubles the penalty": {1, 71, copyPenalty * maxContentionFactor, model.Alone * 9},
-		"several copies":                         {2, 0, copyPenalty, model.Alone},
+		"the first copy has no penalty":          {0, 0, 0, model.BaseTime},
+		"another copy":                           {1, 0, copyPenalty, model.BaseTime},
+		"as many loads as run at full speed":     {1, 7, copyPenalty, model.BaseTime},
+		"contention":                             {1, 11, copyPenalty * 3 / 2, model.BaseTime * 3 / 2},
+		"contention at most doubles the penalty": {1, 71, copyPenalty * maxContentionFactor, model.BaseTime * 9},
+		"several copies":                         {2, 0, copyPenalty, model.BaseTime},
 	} {
 		got := newFleetStats(tc.copies, tc.loading, model)
 		assert.Equal(t, got.copyPenalty, tc.copy, name)
@@ -34,7 +34,7 @@
 // Checks each term of an engine's cost without a clock, a lock or a connection.
 func TestEstimateCost(t *testing.T) {
 	requirements := &requirements{key: sandbarrow.AdapterKey{Adapter: "a", Model: testModel}, tokens: 1000, untilObjective: time.Second}
-	stats := &fleetStats{copyPenalty: copyPenalty, loadDelay: loadtime.NewModel().Alone, speed: readspeed.Prior}
+	stats := &fleetStats{copyPenalty: copyPenalty, loadDelay: loadtime.NewModel().BaseTime, speed: readspeed.Prior}
 	with := func(change func(*candidate)) candidate {
 		e := candidate{linkView: linkView{linked: true, status: enginelink.Status{
 			Free: 1, Models: []sandbarrow.BaseModelID{testModel},
@@ -53,10 +53,10 @@
 		"requests run there":     {with(func(e *candidate) { loadedOrLoading(e); e.status.Running = 4 }), 4 * runningDelay, true},
 		"prompts wait there":     {with(func(e *candidate) { loadedOrLoading(e); e.waitingTokens = 1000 }), 1000 * readspeed.Prior.PerToken, true},
 		"late":                   {with(func(e *candidate) { loadedOrLoading(e); e.waitingTokens = 24_000 }), 24_000*readspeed.Prior.PerToken + latePenalty, true},
-		"loads it":               {with(func(e *candidate) { e.loadedOrLoading, e.status.Slots = true, loadingSlotFor("a") }), loadtime.NewModel().Alone / 2, true},
+		"loads it":               {with(func(e *candidate) { e.loadedOrLoading, e.status.Slots = true, loadingSlotFor("a") }), loadtime.NewModel().BaseTime / 2, true},
 		"recalls it":             {with(func(e *candidate) { e.recallable = true }), recallDelay, true},
-		"loads it, another copy": {with(func(*candidate) {}), loadtime.NewModel().Alone + copyPenalty, true},
-		"late for a slot":        {with(func(e *candidate) { e.status.Free = -1 }), 2*slotWait + loadtime.NewModel().Alone + copyPenalty + latePenalty, true},
+		"loads it, another copy": {with(func(*candidate) {}), loadtime.NewModel().BaseTime + copyPenalty, true},
+		"late for a slot":        {with(func(e *candidate) { e.status.Free = -1 }), 2*slotWait + loadtime.NewModel().BaseTime + copyPenalty + latePenalty, true},
 		"prefills slowly": {with(func(e *candidate) {
 			loadedOrLoading(e)
 			e.waitingTokens, e.status.Speed = 1000, readspeed.Speed{Base: readspeed.Prior.Base, PerToken: 2 * readspeed.Prior.PerToken}
@@ -67,7 +67,7 @@
 	} {
 		e := tc.engine
 		assert.Equal(t, e.estimateCost(requirements, stats), tc.ok, name)
-		assert.Equal(t, e.cost, tc.cost+readspeed.Prior.Read(requirements.tokens), name)
+		assert.Equal(t, e.cost, tc.cost+readspeed.Prior.TimeToFirstEvent(requirements.tokens), name)
 	}
 }
 
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -183,7 +183,7 @@
 	if s.Instance != "" {
 		l.instance = s.Instance
 	}
-	l.memory.Note(func(yield func(sandbarrow.AdapterKey, sandbarrow.AdapterVersion) bool) {
+	l.memory.MarkLoaded(func(yield func(sandbarrow.AdapterKey, sandbarrow.AdapterVersion) bool) {
 		for i := range s.Slots {
 			if !yield(s.Slots[i].Key(), s.Slots[i].Version) {
 				return
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -128,21 +128,21 @@
 
 func TestRetryAllowanceIsShared(t *testing.T) {
 	g := newLoneGateway()
-	burst := func() float64 { return retry.BurstOf(g.config.RetrySlack, g.engines.gateways()) }
-	assert.Equal(t, burst(), float64(retry.UnknownBurst))
+	burst := func() float64 { return retry.GatewayBurst(g.config.RetrySlack, g.engines.gateways()) }
+	assert.Equal(t, burst(), float64(retry.FallbackBurst))
 	status := enginelink.Status{Gateways: 10, Models: []sandbarrow.BaseModelID{testModel}}
 	g.engines.links["a"] = &controllerLink{gateway: g, linkState: linkState{lastContact: boottime.Now(), rpc: &jsonrpc2.Conn{}, status: status}}
 	assert.Assert(t, math.Abs(burst()-4.2) < 1e-9)
 	taken := 0
 	b := g.retryBudget("s")
-	for b.Retry() {
+	for b.AllowRetry() {
 		taken++
 	}
 	assert.Equal(t, taken, 1, "a gateway that starts has not saved up all")
 	for range 100 {
 		g.retryBudget("s").Request()
 	}
-	for b.Retry() {
+	for b.AllowRetry() {
 		taken++
 	}
 	assert.Equal(t, taken, 5, "no more than the burst is saved up")
@@ -156,6 +156,6 @@
 	for range 100 {
 		g.retryBudget("s").Request()
 	}
-	assert.Assert(t, g.retryBudget("s").Retry())
-	assert.Assert(t, !g.retryBudget("s").Retry())
+	assert.Assert(t, g.retryBudget("s").AllowRetry())
+	assert.Assert(t, !g.retryBudget("s").AllowRetry())
 }
--- a/gateway/progress.go
+++ b/gateway/progress.go
@@ -75,7 +75,7 @@
 	case begun:
 		return nextEventTimeout
 	}
-	return firstEventTimeout + speed.Tokens(waitingTokens)
+	return firstEventTimeout + speed.PrefillTime(waitingTokens)
 }
 
 // watchProgress cancels an attempt that makes no progress, if the request may be sent to
--- a/gateway/promptmove.go
+++ b/gateway/promptmove.go
@@ -135,7 +135,7 @@
 		return 0
 	}
 	cost := time.Duration(moved) * (n.movePerToken + movePenaltyPerToken)
-	if cost >= e.speed().Tokens(moved) {
+	if cost >= e.speed().PrefillTime(moved) {
 		return 0
 	}
 	e.move = promptMove{source: *source, tokens: moved}
--- a/gateway/retryrule.go
+++ b/gateway/retryrule.go
@@ -59,7 +59,7 @@
 	case sendNever:
 		return false
 	}
-	return c.gateway.retryBudget(c.service.ID).Retry()
+	return c.gateway.retryBudget(c.service.ID).AllowRetry()
 }
 
 // attemptResult is the result of an attempt at an engine.
--- a/gateway/sendpermits.go
+++ b/gateway/sendpermits.go
@@ -15,7 +15,7 @@
 // sendPermits asks for sends to upstreams that name a limit. It is safe for concurrent use.
 type sendPermits struct {
 	gateway *Gateway
-	keepers *sendkeepers.Keepers
+	keepers *sendkeepers.Coordinators
 	// kept grants sends to all peers where this gateway is asked.
 	kept *enginelink.SendKeeper
 }
@@ -29,8 +29,8 @@
 }
 
 // controllers are the controllers whose links are up.
-func (p *sendPermits) controllers() []sendkeepers.Keeper {
-	var list []sendkeepers.Keeper
+func (p *sendPermits) controllers() []sendkeepers.Coordinator {
+	var list []sendkeepers.Coordinator
 	for _, l := range p.gateway.engines.upLinks(boottime.Now()) {
 		list = append(list, l)
 	}
@@ -61,7 +61,7 @@
 	case !need:
 		return &sendPermit{}, true
 	}
-	grant := p.keepers.Ask(ctx, enginelink.Send{Record: record, WithinMS: within.Milliseconds()})
+	grant := p.keepers.RequestSend(ctx, enginelink.Send{Record: record, WithinMS: within.Milliseconds()})
 	p.gateway.upstreams.endAsk(in.ID, &grant, within)
 	outcome := "refused"
 	if grant.Granted {
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -179,7 +179,7 @@
 // objectiveSlack returns how long the request may still wait for a grant at an engine and
 // meet its objective. It may be negative.
 func (c *call) objectiveSlack(e *candidate) time.Duration {
-	return c.untilObjective() - e.speed().Read(e.unread(c.tokens))
+	return c.untilObjective() - e.speed().TimeToFirstEvent(e.unread(c.tokens))
 }
 
 // unpin releases the pin at an engine.
--- a/gateway/serveplain.go
+++ b/gateway/serveplain.go
@@ -146,7 +146,7 @@
 		if !allowed {
 			continue
 		}
-		cost := look.Price + time.Duration(look.InFlight)*plainRequestDelay/time.Duration(max(1, in.Slots))
+		cost := look.Penalty + time.Duration(look.InFlight)*plainRequestDelay/time.Duration(max(1, in.Slots))
 		if in.FailureDomain != g.config.Domain {
 			cost += crossDomainPenalty
 		}
--- a/gateway/upstreamend.go
+++ b/gateway/upstreamend.go
@@ -51,7 +51,7 @@
 	// dialled is closed once the upstream's address has been dialled.
 	dialled chan struct{}
 	// evidence and broken are guarded by the mutex of upstreamEnds.
-	evidence availability.EndEvidence
+	evidence availability.ExitEvidence
 	broken   []brokenAttempt
 }
 
@@ -101,7 +101,7 @@
 	l := u.probes[in.ID]
 	u.mu.Unlock()
 	if l != nil {
-		u.conclude(l, availability.EndMisdirected)
+		u.conclude(l, availability.ExitMisdirected)
 	}
 }
 
@@ -121,12 +121,12 @@
 func (u *upstreamEnds) probe(ctx context.Context, l *endProbe) {
 	began := time.Now()
 	until := began.Add(probeWindow)
-	var evidence availability.EndEvidence
+	var evidence availability.ExitEvidence
 	switch listening.Dial(ctx, l.instance.Address, forward.DialTimeout) {
 	case listening.Listens:
 		until = began.Add(aliveWindow)
 	case listening.Refuses:
-		evidence = availability.EndRefused
+		evidence = availability.ExitRefused
 	}
 	u.conclude(l, evidence)
 	close(l.dialled)
@@ -146,14 +146,14 @@
 }
 
 // evidenceOf is the evidence that a look has found so far.
-func (u *upstreamEnds) evidenceOf(l *endProbe) availability.EndEvidence {
+func (u *upstreamEnds) evidenceOf(l *endProbe) availability.ExitEvidence {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return l.evidence
 }
 
 // conclude notes evidence, if there is any, against the attempts that broke so far.
-func (u *upstreamEnds) conclude(l *endProbe, evidence availability.EndEvidence) {
+func (u *upstreamEnds) conclude(l *endProbe, evidence availability.ExitEvidence) {
 	if evidence == "" {
 		return
 	}
@@ -185,9 +185,9 @@
 
 // restarted looks for another start of an upstream, in the list and in the reports of its
 // controller.
-func (u *upstreamEnds) restarted(in *sandbarrow.Instance) availability.EndEvidence {
+func (u *upstreamEnds) restarted(in *sandbarrow.Instance) availability.ExitEvidence {
 	status, linked := u.gateway.engines.link(in.Address).lastStatus(boottime.Now())
-	return availability.FindEnd(in, u.gateway.directory.View().At(in.Address), reportOf(&status, linked))
+	return availability.DetectExit(in, u.gateway.directory.View().At(in.Address), reportOf(&status, linked))
 }
 
 // noteBroken notes that the upstream may have ended under the attempt, unless this gateway
--- a/gateway/upstreams.go
+++ b/gateway/upstreams.go
@@ -55,10 +55,10 @@
 }
 
 // look decides whether a request may be sent to an upstream now, and else when.
-func (u *upstreams) look(now time.Time, in *sandbarrow.Instance, r availability.Report) availability.Look {
+func (u *upstreams) look(now time.Time, in *sandbarrow.Instance, r availability.Report) availability.Check {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.table.Look(now, in, r)
+	return u.table.Check(now, in, r)
 }
 
 // accepts decides whether a request that chose an upstream a while ago may still be sent there.
@@ -129,7 +129,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.table.Notices.Ended(boottime.Now(), in.ID)
+	u.table.Notices.Exited(boottime.Now(), in.ID)
 }
 
 // observeLimit applies the limit that an upstream names in an answer; nil where it names none.
@@ -138,7 +138,7 @@
 		return
 	}
 	now := boottime.Now()
-	said, says := throttle.LimitOf(now, sent, status, named)
+	said, says := throttle.LimitFromResponse(now, sent, status, named)
 	if !says {
 		return
 	}
@@ -202,14 +202,14 @@
 func (u *upstreams) notice(now time.Time, id sandbarrow.InstanceID) availability.Notice {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.table.Notices.Look(now, id)
+	return u.table.Notices.Check(now, id)
 }
 
 // limited counts the upstreams that name a limit.
 func (u *upstreams) limited() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return float64(u.table.Gates.Limited())
+	return float64(u.table.Gates.CountLimited())
 }
 
 // draining counts the upstreams that have announced that they drain.
--- a/loadtime/estimator.go
+++ b/loadtime/estimator.go
@@ -18,17 +18,17 @@
 	return &Estimator{model: NewModel()}
 }
 
-// Choice returns the model for a choice that sees so many loads under way.
-func (e *Estimator) Choice(underWay int) Model {
+// ModelFor returns the model for a choice that sees so many loads under way.
+func (e *Estimator) ModelFor(underWay int) Model {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.underWay = underWay
 	return e.model
 }
 
-// Learn follows a load that took so long. Of several loads between two reports of an engine
+// ObserveLoad follows a load that took so long. Of several loads between two reports of an engine
 // the last one counts.
-func (e *Estimator) Learn(took time.Duration) {
+func (e *Estimator) ObserveLoad(took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Observe(took, e.underWay)
--- a/loadtime/loadtime.go
+++ b/loadtime/loadtime.go
@@ -26,25 +26,25 @@
 // each proportionally longer beyond a number at once. It holds estimates, learnt from the
 // loads that controllers report.
 type Model struct {
-	// Alone is the time of one load with its order.
-	Alone time.Duration
-	// Carried is how many loads the store carries at once before each takes longer.
-	Carried float64
+	// BaseTime is the time of one load with its order.
+	BaseTime time.Duration
+	// Capacity is how many loads the store carries at once before each takes longer.
+	Capacity float64
 }
 
 // NewModel returns what is assumed before any load was seen.
 func NewModel() Model {
-	return Model{Alone: firstLoadDelay, Carried: firstCarried}
+	return Model{BaseTime: firstLoadDelay, Capacity: firstCarried}
 }
 
 // Slowdown is how many times its time alone one more load takes beside those under way.
 func (m *Model) Slowdown(underWay int) float64 {
-	return max(1, float64(underWay+1)/m.Carried)
+	return max(1, float64(underWay+1)/m.Capacity)
 }
 
 // Delay is the time of one more load beside those under way.
 func (m *Model) Delay(underWay int) time.Duration {
-	return time.Duration(float64(m.Alone) * m.Slowdown(underWay))
+	return time.Duration(float64(m.BaseTime) * m.Slowdown(underWay))
 }
 
 // Observe learns from one load: how long it took, and how many were under way, itself
@@ -55,15 +55,15 @@
 	}
 	loads := float64(max(1, underWay))
 	switch {
-	case took < m.Alone:
-		m.Alone = took
-	case loads <= max(1, m.Carried/2):
-		m.Alone += time.Duration(aloneGain * float64(took-m.Alone))
+	case took < m.BaseTime:
+		m.BaseTime = took
+	case loads <= max(1, m.Capacity/2):
+		m.BaseTime += time.Duration(aloneGain * float64(took-m.BaseTime))
 	}
-	slowdown := float64(took) / float64(m.Alone)
+	slowdown := float64(took) / float64(m.BaseTime)
 	if slowdown < contendedLoad {
-		m.Carried = max(m.Carried, loads)
+		m.Capacity = max(m.Capacity, loads)
 		return
 	}
-	m.Carried = max(1, m.Carried+carriedGain*(loads/slowdown-m.Carried))
+	m.Capacity = max(1, m.Capacity+carriedGain*(loads/slowdown-m.Capacity))
 }
--- a/loadtime/loadtime_test.go
+++ b/loadtime/loadtime_test.go
@@ -27,8 +27,8 @@
 			underWay := 1 + random.IntN(3*carries)
 			m.Observe(took(underWay), underWay)
 		}
-		assert.Check(t, m.Carried > 0.7*float64(carries) && m.Carried < 1.4*float64(carries), "carries %d, learnt %.1f", carries, m.Carried)
-		assert.Check(t, float64(m.Alone) < 1.1*float64(alone) && float64(m.Alone) > 0.9*float64(alone), "alone %v, learnt %v", alone, m.Alone)
+		assert.Check(t, m.Capacity > 0.7*float64(carries) && m.Capacity < 1.4*float64(carries), "carries %d, learnt %.1f", carries, m.Capacity)
+		assert.Check(t, float64(m.BaseTime) < 1.1*float64(alone) && float64(m.BaseTime) > 0.9*float64(alone), "alone %v, learnt %v", alone, m.BaseTime)
 		few := max(1, carries/2)
 		assert.Check(t, m.Delay(few) < alone*13/10, "%v beside %d", m.Delay(few), few)
 	})
--- a/readspeed/readspeed.go
+++ b/readspeed/readspeed.go
@@ -18,14 +18,14 @@
 	PerToken time.Duration `json:"per_token_ns"`
 }
 
-// Read is the time until so many prompt tokens have been read and the first event is
+// TimeToFirstEvent is the time until so many prompt tokens have been read and the first event is
 // there.
-func (s Speed) Read(tokens int) time.Duration {
-	return s.Base + s.Tokens(tokens)
+func (s Speed) TimeToFirstEvent(tokens int) time.Duration {
+	return s.Base + s.PrefillTime(tokens)
 }
 
-// Tokens is the time for so many prompt tokens alone.
-func (s Speed) Tokens(tokens int) time.Duration {
+// PrefillTime is the time for so many prompt tokens alone.
+func (s Speed) PrefillTime(tokens int) time.Duration {
 	return time.Duration(tokens) * s.PerToken
 }
 
--- a/readspeed/readspeed_test.go
+++ b/readspeed/readspeed_test.go
@@ -51,13 +51,13 @@
 			}
 			e.Observe(tokens, took)
 			if i >= 300 {
-				short += e.Speed().Read(3000) / 100
-				long += e.Speed().Read(9000) / 100
+				short += e.Speed().TimeToFirstEvent(3000) / 100
+				long += e.Speed().TimeToFirstEvent(9000) / 100
 			}
 		}
 		want := Speed{Base: base, PerToken: perToken}
-		assert.Check(t, within(short, want.Read(3000), 0.35), "3000 tokens: %v, want %v", short, want.Read(3000))
-		assert.Check(t, within(long, want.Read(9000), 0.35), "9000 tokens: %v, want %v", long, want.Read(9000))
+		assert.Check(t, within(short, want.TimeToFirstEvent(3000), 0.35), "3000 tokens: %v, want %v", short, want.TimeToFirstEvent(3000))
+		assert.Check(t, within(long, want.TimeToFirstEvent(9000), 0.35), "9000 tokens: %v, want %v", long, want.TimeToFirstEvent(9000))
 	})
 }
 
@@ -70,7 +70,7 @@
 		tokens := rapid.IntRange(1, 200_000).Draw(t, "tokens")
 		e.Observe(tokens, time.Duration(rapid.Int64Range(1, int64(time.Hour)).Draw(t, "took")))
 		for _, n := range []int{500, 5000, 50_000} {
-			assert.Check(t, within(e.Speed().Read(n), before.Read(n), 0.2), "%v to %v", before, e.Speed())
+			assert.Check(t, within(e.Speed().TimeToFirstEvent(n), before.TimeToFirstEvent(n), 0.2), "%v to %v", before, e.Speed())
 		}
 	})
 }
@@ -82,13 +82,13 @@
 	answer := func(s Speed, times int) {
 		for i := range times {
 			tokens := []int{800, 9000, 3000}[i%3]
-			e.Observe(tokens, s.Read(tokens))
+			e.Observe(tokens, s.TimeToFirstEvent(tokens))
 		}
 	}
 	answer(normal, 60)
-	assert.Check(t, within(e.Speed().Read(9000), normal.Read(9000), 0.1), "%v", e.Speed())
+	assert.Check(t, within(e.Speed().TimeToFirstEvent(9000), normal.TimeToFirstEvent(9000), 0.1), "%v", e.Speed())
 	answer(slow, 24)
-	assert.Check(t, within(e.Speed().Read(9000), slow.Read(9000), 0.3), "%v", e.Speed())
+	assert.Check(t, within(e.Speed().TimeToFirstEvent(9000), slow.TimeToFirstEvent(9000), 0.3), "%v", e.Speed())
 	answer(normal, 24)
-	assert.Check(t, within(e.Speed().Read(9000), normal.Read(9000), 0.3), "%v", e.Speed())
+	assert.Check(t, within(e.Speed().TimeToFirstEvent(9000), normal.TimeToFirstEvent(9000), 0.3), "%v", e.Speed())
 }
--- a/readspeed/toward.go
+++ b/readspeed/toward.go
@@ -7,9 +7,9 @@
 // the price of another failure domain.
 const noise = 0.15
 
-// Toward returns the speed without the part of its difference to a typical one that is
+// ShrinkToward returns the speed without the part of its difference to a typical one that is
 // within the noise of estimates.
-func (s Speed) Toward(typical Speed) Speed {
+func (s Speed) ShrinkToward(typical Speed) Speed {
 	return Speed{Base: toward(s.Base, typical.Base), PerToken: toward(s.PerToken, typical.PerToken)}
 }
 
--- a/readspeed/toward_test.go
+++ b/readspeed/toward_test.go
@@ -15,7 +15,7 @@
 		{Speed{200 * time.Millisecond, 20 * time.Microsecond}, Speed{185 * time.Millisecond, 26 * time.Microsecond}},
 		{Speed{80 * time.Millisecond, 200 * time.Microsecond}, Speed{95 * time.Millisecond, 194 * time.Microsecond}},
 	} {
-		assert.Equal(t, tc.own.Toward(typical), tc.want)
+		assert.Equal(t, tc.own.ShrinkToward(typical), tc.want)
 	}
 }
 
--- a/recall/memory.go
+++ b/recall/memory.go
@@ -36,9 +36,9 @@
 	version sandbarrow.AdapterVersion
 }
 
-// Note counts the adapters that the engine holds now, with their versions, as the last
+// MarkLoaded counts the adapters that the engine holds now, with their versions, as the last
 // seen.
-func (m *Memory) Note(held iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion]) {
+func (m *Memory) MarkLoaded(held iter.Seq2[sandbarrow.AdapterKey, sandbarrow.AdapterVersion]) {
 	if m.seen == nil {
 		m.seen = map[sandbarrow.AdapterKey]sighting{}
 	}
--- a/recall/memory_test.go
+++ b/recall/memory_test.go
@@ -24,11 +24,11 @@
 
 func TestMemoryIsOfAVersion(t *testing.T) {
 	var m Memory
-	m.Note(seenAt(1, 1))
+	m.MarkLoaded(seenAt(1, 1))
 	assert.Assert(t, m.Has(keyOf(1), 0), "no version is named: any will do")
 	assert.Assert(t, m.Has(keyOf(1), 1))
 	assert.Assert(t, !m.Has(keyOf(1), 2))
-	m.Note(seenAt(1, 2))
+	m.MarkLoaded(seenAt(1, 2))
 	assert.Assert(t, m.Has(keyOf(1), 2))
 }
 
@@ -46,7 +46,7 @@
 			}
 			engine = append(engine, n)
 			engine = engine[max(0, len(engine)-kept):]
-			m.Note(seenAt(n, 1))
+			m.MarkLoaded(seenAt(n, 1))
 		}
 		assert.Check(t, m.size() > kept-8 && m.size() < kept+8, "keeps %d, learnt %d", kept, m.size())
 	}
@@ -55,7 +55,7 @@
 func TestMemoryKeepsTheNewest(t *testing.T) {
 	var m Memory
 	for n := range remembered + 5 {
-		m.Note(seenAt(n, 1))
+		m.MarkLoaded(seenAt(n, 1))
 	}
 	assert.Assert(t, !m.Has(keyOf(4), 1))
 	assert.Assert(t, m.Has(keyOf(5), 1))
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -27,8 +27,8 @@
 	b.saved = min(b.most, b.saved+b.share)
 }
 
-// Retry takes one retry, or reports that there is none.
-func (b *Budget) Retry() bool {
+// AllowRetry takes one retry, or reports that there is none.
+func (b *Budget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.saved < 1 {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -12,7 +12,7 @@
 	retries := 0
 	for range 10_000 {
 		b.Request()
-		for b.Retry() { // each request fails and would retry for ever
+		for b.AllowRetry() { // each request fails and would retry for ever
 			retries++
 		}
 	}
--- a/retry/servicebudgets.go
+++ b/retry/servicebudgets.go
@@ -20,8 +20,8 @@
 	// startPart is the part of the burst that a gateway starts with: many may restart
 	// at once, and those before them have spent theirs.
 	startPart = 0.4
-	// UnknownBurst is the burst while the number of gateways is not known.
-	UnknownBurst = 2
+	// FallbackBurst is the burst while the number of gateways is not known.
+	FallbackBurst = 2
 )
 
 // ServiceBudgets holds one gateway's budget of each service. It is safe for concurrent use.
@@ -41,7 +41,7 @@
 // Budget returns the budget of a service: this gateway's part of what all gateways together
 // may send again. gateways is how many there are, 0 where that is not known.
 func (s *ServiceBudgets) Budget(id sandbarrow.ServiceID, gateways int) *Budget {
-	most := BurstOf(s.slack, gateways)
+	most := GatewayBurst(s.slack, gateways)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[id]
@@ -53,14 +53,14 @@
 	return b
 }
 
-// BurstOf decides how many retries one gateway may save up, at least one.
+// GatewayBurst decides how many retries one gateway may save up, at least one.
 //
 // Inputs: the retries that the fleet may make beyond its share of the requests
 // (setting retry_slack), and the number of gateways as the controllers see them, at
 // most half a second old; 0 where no controller is linked.
-func BurstOf(slack float64, gateways int) float64 {
+func GatewayBurst(slack float64, gateways int) float64 {
 	if gateways == 0 {
-		return min(UnknownBurst, slack)
+		return min(FallbackBurst, slack)
 	}
 	return max(1, slack*slackPart/float64(gateways))
 }
--- a/retry/servicebudgets_test.go
+++ b/retry/servicebudgets_test.go
@@ -13,12 +13,12 @@
 		gateways int
 		want     float64
 	}{
-		"nobody known":        {50, 0, UnknownBurst},
+		"nobody known":        {50, 0, FallbackBurst},
 		"nobody known, tight": {1, 0, 1},
 		"alone":               {50, 1, 35},
 		"five":                {50, 5, 7},
 		"more than the slack": {50, 80, 1},
 	} {
-		assert.Assert(t, math.Abs(BurstOf(tc.slack, tc.gateways)-tc.want) < 1e-9, name)
+		assert.Assert(t, math.Abs(GatewayBurst(tc.slack, tc.gateways)-tc.want) < 1e-9, name)
 	}
 }
--- a/sendkeepers/sendkeepers.go
+++ b/sendkeepers/sendkeepers.go
@@ -39,8 +39,8 @@
 	reportsAtOnce = 64
 )
 
-// Keeper is a process that grants sends to limited upstreams.
-type Keeper interface {
+// Coordinator is a process that grants sends to limited upstreams.
+type Coordinator interface {
 	// Name tells processes apart.
 	Name() string
 	// Send asks for one send.
@@ -52,7 +52,7 @@
 // Config is what Keepers need.
 type Config struct {
 	// Controllers returns the controllers that are linked.
-	Controllers func() []Keeper
+	Controllers func() []Coordinator
 	Logger      *slog.Logger
 	// Own grants sends where this gateway is asked by its peers.
 	Own *enginelink.SendKeeper
@@ -62,11 +62,11 @@
 	Peers []string
 }
 
-// Keepers chooses which processes are asked for sends to a limited upstream: all gateways
+// Coordinators chooses which processes are asked for sends to a limited upstream: all gateways
 // prefer the same two. These are controllers where any is linked, since all gateways are linked
 // to them; else the peers; else this gateway grants its part alone. It is safe for concurrent
 // use.
-type Keepers struct {
+type Coordinators struct {
 	// alone grants this gateway's part of the limits while it reaches no other process.
 	alone   *enginelink.SendKeeper
 	config  Config
@@ -78,14 +78,14 @@
 }
 
 // New returns the processes that a gateway may ask.
-func New(c Config) *Keepers {
-	return &Keepers{
+func New(c Config) *Coordinators {
+	return &Coordinators{
 		alone: enginelink.NewSendKeeper(aloneParts), config: c, peers: map[string]*peer{}, reports: make(chan struct{}, reportsAtOnce), suspect: map[string]time.Time{},
 	}
 }
 
 // Run closes connections to peers that rest, until ctx ends, and then all.
-func (k *Keepers) Run(ctx context.Context) error {
+func (k *Coordinators) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, peerIdleTimeout)
 		k.closeIdle(boottime.Now())
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (k *Keepers) closeIdle(now time.Time) {
+func (k *Coordinators) closeIdle(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, p := range k.peers {
@@ -106,12 +106,12 @@
 	}
 }
 
-// Ask asks for one send, one process after the other until one answers. The others that count
+// RequestSend asks for one send, one process after the other until one answers. The others that count
 // the sends to the upstream hear of a grant.
-func (k *Keepers) Ask(ctx context.Context, q enginelink.Send) enginelink.SendGrant {
+func (k *Coordinators) RequestSend(ctx context.Context, q enginelink.Send) enginelink.SendGrant {
 	list := k.answering(k.of(q.Instance))
 	if len(list) == 0 {
-		list = []Keeper{aloneKeeper{k.alone}}
+		list = []Coordinator{aloneKeeper{k.alone}}
 	}
 	for _, keeper := range list[:min(len(list), keepersPerLimit)] {
 		grant, err := keeper.Send(ctx, q)
@@ -130,10 +130,10 @@
 }
 
 // Report reports sends, or what an upstream says of its limit, to the processes that count them.
-func (k *Keepers) Report(s enginelink.Sent) { k.report(nil, s) }
+func (k *Coordinators) Report(s enginelink.Sent) { k.report(nil, s) }
 
 // report reports to the processes that count the sends to an upstream, but to one.
-func (k *Keepers) report(except Keeper, s enginelink.Sent) {
+func (k *Coordinators) report(except Coordinator, s enginelink.Sent) {
 	list := k.of(s.Instance)
 	for _, keeper := range list[:min(len(list), keepersPerLimit)] {
 		if except != nil && keeper.Name() == except.Name() {
@@ -152,22 +152,22 @@
 }
 
 // of returns the processes that may grant sends to an upstream, the preferred first.
-func (k *Keepers) of(id sandbarrow.InstanceID) []Keeper {
+func (k *Coordinators) of(id sandbarrow.InstanceID) []Coordinator {
 	list := k.config.Controllers()
 	if len(k.answering(list)) == 0 {
 		list = k.peerKeepers()
 	}
-	slices.SortFunc(list, func(a, b Keeper) int {
+	slices.SortFunc(list, func(a, b Coordinator) int {
 		return cmp.Compare(rendezvous.Rank(string(id), b.Name()), rendezvous.Rank(string(id), a.Name()))
 	})
 	return list
 }
 
 // peerKeepers are the peers, this gateway among them where it is one.
-func (k *Keepers) peerKeepers() []Keeper {
+func (k *Coordinators) peerKeepers() []Coordinator {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []Keeper
+	var list []Coordinator
 	for _, address := range k.config.Peers {
 		if address == k.config.PeerAddress {
 			list = append(list, ownKeeper{address: address, keeper: k.config.Own})
@@ -182,15 +182,15 @@
 }
 
 // answering leaves out those that did not answer lately.
-func (k *Keepers) answering(list []Keeper) []Keeper {
+func (k *Coordinators) answering(list []Coordinator) []Coordinator {
 	now := boottime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(list), func(s Keeper) bool { return now.Sub(k.suspect[s.Name()]) < keeperSuspectFor })
+	return slices.DeleteFunc(slices.Clone(list), func(s Coordinator) bool { return now.Sub(k.suspect[s.Name()]) < keeperSuspectFor })
 }
 
 // doubt notes that a process did not answer.
-func (k *Keepers) doubt(s Keeper, err error) {
+func (k *Coordinators) doubt(s Coordinator, err error) {
 	k.config.Logger.Info("keeper of upstreams' limits did not answer", "keeper", s.Name(), "error", err.Error())
 	now := boottime.Now()
 	k.mu.Lock()
--- a/sendkeepers/sendkeepers_test.go
+++ b/sendkeepers/sendkeepers_test.go
@@ -51,9 +51,9 @@
 }
 
 // newKeepers returns the keepers of a gateway that is linked to controllers.
-func newKeepers(controllers ...*fakeKeeper) *Keepers {
-	list := func() []Keeper {
-		var all []Keeper
+func newKeepers(controllers ...*fakeKeeper) *Coordinators {
+	list := func() []Coordinator {
+		var all []Coordinator
 		for _, f := range controllers {
 			all = append(all, f)
 		}
@@ -75,8 +75,8 @@
 	slices.Reverse(reversed)
 	first, second := newKeepers(list...), newKeepers(reversed...)
 	for range 3 {
-		assert.Assert(t, first.Ask(t.Context(), question("u@1")).Granted)
-		assert.Assert(t, second.Ask(t.Context(), question("u@1")).Granted)
+		assert.Assert(t, first.RequestSend(t.Context(), question("u@1")).Granted)
+		assert.Assert(t, second.RequestSend(t.Context(), question("u@1")).Granted)
 	}
 	await.Until(t, 5*time.Second, "reports to the other keeper", func() bool {
 		var asked, told []int
@@ -93,10 +93,10 @@
 func TestKeeperThatDoesNotAnswerIsPassedOver(t *testing.T) {
 	a, b := &fakeKeeper{address: "a:1", silent: true}, &fakeKeeper{address: "b:1", silent: true}
 	k := newKeepers(a, b)
-	refused := k.Ask(t.Context(), question("u@1"))
+	refused := k.RequestSend(t.Context(), question("u@1"))
 	assert.Assert(t, !refused.Granted && refused.WaitMS > 0, "neither answers")
 	for range 3 {
-		k.Ask(t.Context(), question("u@1"))
+		k.RequestSend(t.Context(), question("u@1"))
 	}
 	asked, _ := a.counts()
 	assert.Equal(t, asked, 1, "it is not asked again so soon")
@@ -106,7 +106,7 @@
 	k := newKeepers()
 	granted := 0
 	for began := time.Now(); time.Since(began) < 100*time.Millisecond; time.Sleep(time.Millisecond) {
-		if k.Ask(t.Context(), question("u@1")).Granted {
+		if k.RequestSend(t.Context(), question("u@1")).Granted {
 			granted++
 		}
 	}
--- a/throttle/gates.go
+++ b/throttle/gates.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// Within is how long a request waits for its turn at a limited upstream, rather than being
+	// MaxWait is how long a request waits for its turn at a limited upstream, rather than being
 	// refused.
-	Within = 200 * time.Millisecond
+	MaxWait = 200 * time.Millisecond
 	// leastAskPause and mostAskPause bound the pause until an upstream is asked for again that
 	// takes no request now: the longest is how late a process may learn that its limit has
 	// ended, or that another one has given a send back.
@@ -40,10 +40,10 @@
 	gates map[sandbarrow.InstanceID]*gate
 }
 
-// Look returns how long it is until an upstream may be asked for, and its price: one in need is
+// Check returns how long it is until an upstream may be asked for, and its price: one in need is
 // spared, but for the requests that show whether it still names its limit. Both are 0 for one
 // that names none.
-func (g *Gates) Look(now time.Time, id sandbarrow.InstanceID) (wait, price time.Duration) {
+func (g *Gates) Check(now time.Time, id sandbarrow.InstanceID) (wait, price time.Duration) {
 	limit, limited := g.InForce(now, id)
 	if !limited {
 		return 0, 0
--- a/throttle/keeper.go
+++ b/throttle/keeper.go
@@ -15,23 +15,23 @@
 	Wait time.Duration
 }
 
-// Keeper grants sends to limited upstreams, and keeps what it was told of their limits. The
-// zero Keeper knows none.
-type Keeper struct {
+// Coordinator grants sends to limited upstreams, and keeps what it was told of their limits. The
+// zero Coordinator knows none.
+type Coordinator struct {
 	Table
-	// Parts is into how many parts the limits are split, of which this keeper grants one; 0 is
+	// Shares is into how many parts the limits are split, of which this keeper grants one; 0 is
 	// one.
-	Parts   int
+	Shares   int
 	buckets map[sandbarrow.InstanceID]*bucket
 }
 
-// Take decides whether one request may be sent to an upstream within a time.
+// Acquire decides whether one request may be sent to an upstream within a time.
 //
 // Inputs: what the asking process knows of the upstream's limit, as old as the last answer
 // that named it; what this keeper was told by others; the sends that it has granted, and those
 // that were reported to it. An upstream whose limit has ended, as any other process was
 // answered later, takes all.
-func (k *Keeper) Take(now time.Time, asked Record, within time.Duration) Grant {
+func (k *Coordinator) Acquire(now time.Time, asked Record, within time.Duration) Grant {
 	k.Merge(now, asked)
 	limit, limited := k.InForce(now, asked.Instance)
 	if !limited {
@@ -42,9 +42,9 @@
 	return Grant{Granted: granted, Wait: wait}
 }
 
-// Spent counts sends that another keeper granted, or gives back some that did not come about
+// CountSends counts sends that another keeper granted, or gives back some that did not come about
 // where sends is negative.
-func (k *Keeper) Spent(now time.Time, told Record, sends int) {
+func (k *Coordinator) CountSends(now time.Time, told Record, sends int) {
 	k.Merge(now, told)
 	if limit, limited := k.InForce(now, told.Instance); limited && sends != 0 {
 		k.bucket(now, told.Instance).spend(now, k.granted(limit.Rate), sends)
@@ -52,12 +52,12 @@
 }
 
 // granted is the rate of this keeper's part of a limit, in requests a second.
-func (k *Keeper) granted(r Rate) float64 {
-	return r.held() / float64(max(1, k.Parts))
+func (k *Coordinator) granted(r Rate) float64 {
+	return r.held() / float64(max(1, k.Shares))
 }
 
 // bucket returns the bucket of an upstream that names a limit.
-func (k *Keeper) bucket(now time.Time, id sandbarrow.InstanceID) *bucket {
+func (k *Coordinator) bucket(now time.Time, id sandbarrow.InstanceID) *bucket {
 	b := k.buckets[id]
 	if b != nil {
 		return b
--- a/throttle/keeper_test.go
+++ b/throttle/keeper_test.go
@@ -18,12 +18,12 @@
 func TestKeeperGrantsAtTheRate(t *testing.T) {
 	for _, rate := range []Rate{0, 0.2, 0.5, 1.4, 7, 50} {
 		now := time.Now()
-		var k Keeper
+		var k Coordinator
 		granted := 0
 		const seconds = 100
 		for range seconds * 200 {
 			now = now.Add(5 * time.Millisecond)
-			if k.Take(now, named(rate), 0).Granted {
+			if k.Acquire(now, named(rate), 0).Granted {
 				granted++
 			}
 		}
@@ -35,23 +35,23 @@
 // What is not granted says after how long one send is, and that is true.
 func TestWaitIsTrue(t *testing.T) {
 	now := time.Now()
-	var k Keeper
-	refused := k.Take(now, named(0.5), 0)
+	var k Coordinator
+	refused := k.Acquire(now, named(0.5), 0)
 	assert.Assert(t, !refused.Granted && refused.Wait > 0)
-	assert.Assert(t, !k.Take(now.Add(refused.Wait-time.Millisecond), named(0.5), 0).Granted)
-	assert.Assert(t, k.Take(now.Add(refused.Wait+time.Millisecond), named(0.5), 0).Granted)
+	assert.Assert(t, !k.Acquire(now.Add(refused.Wait-time.Millisecond), named(0.5), 0).Granted)
+	assert.Assert(t, k.Acquire(now.Add(refused.Wait+time.Millisecond), named(0.5), 0).Granted)
 }
 
 // A send may be granted ahead, for a moment that is then told; those ahead are bounded.
 func TestGrantAhead(t *testing.T) {
 	now := time.Now()
-	var k Keeper
-	first := k.Take(now, named(10), 150*time.Millisecond)
+	var k Coordinator
+	first := k.Acquire(now, named(10), 150*time.Millisecond)
 	assert.Assert(t, first.Granted && first.Wait == 100*time.Millisecond, "%v", first)
-	assert.Assert(t, !k.Take(now, named(10), 150*time.Millisecond).Granted, "the next one is 200 ms away")
+	assert.Assert(t, !k.Acquire(now, named(10), 150*time.Millisecond).Granted, "the next one is 200 ms away")
 	ahead := 0
 	for range 100 {
-		if k.Take(now, named(10), time.Hour).Granted {
+		if k.Acquire(now, named(10), time.Hour).Granted {
 			ahead++
 		}
 	}
@@ -60,40 +60,40 @@
 
 func TestUnusedSendsAreGivenBack(t *testing.T) {
 	now := time.Now()
-	var k Keeper
-	k.Take(now, named(0.5), 0)
+	var k Coordinator
+	k.Acquire(now, named(0.5), 0)
 	now = now.Add(2100 * time.Millisecond)
-	assert.Assert(t, k.Take(now, named(0.5), 0).Granted)
-	assert.Assert(t, !k.Take(now, named(0.5), 0).Granted)
-	k.Spent(now, named(0.5), -1)
-	assert.Assert(t, k.Take(now, named(0.5), 0).Granted)
+	assert.Assert(t, k.Acquire(now, named(0.5), 0).Granted)
+	assert.Assert(t, !k.Acquire(now, named(0.5), 0).Granted)
+	k.CountSends(now, named(0.5), -1)
+	assert.Assert(t, k.Acquire(now, named(0.5), 0).Granted)
 }
 
 func TestEndedLimitGrantsAll(t *testing.T) {
 	now := time.Now()
-	var k Keeper
+	var k Coordinator
 	old := named(0.5)
-	assert.Assert(t, !k.Take(now, old, 0).Granted)
+	assert.Assert(t, !k.Acquire(now, old, 0).Granted)
 	now = now.Add(time.Second)
-	k.Spent(now, Record{Ended: true, Instance: upstream}, 0)
+	k.CountSends(now, Record{Ended: true, Instance: upstream}, 0)
 	old.AgeMS = 1000
 	for range 10 {
-		assert.Assert(t, k.Take(now, old, 0).Granted, "the asking process does not know yet")
+		assert.Assert(t, k.Acquire(now, old, 0).Granted, "the asking process does not know yet")
 	}
 	now = now.Add(time.Second)
-	assert.Assert(t, !k.Take(now, named(0.5), 0).Granted, "it names one again")
+	assert.Assert(t, !k.Acquire(now, named(0.5), 0).Granted, "it names one again")
 }
 
 // Processes that reach no other one grant a part each.
 func TestKeepersAloneGrantAPartEach(t *testing.T) {
 	now := time.Now()
-	keepers := make([]Keeper, 8)
+	keepers := make([]Coordinator, 8)
 	granted := 0
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
 		for i := range keepers {
-			keepers[i].Parts = len(keepers)
-			if keepers[i].Take(now, named(1.4), 0).Granted {
+			keepers[i].Shares = len(keepers)
+			if keepers[i].Acquire(now, named(1.4), 0).Granted {
 				granted++
 			}
 		}
@@ -105,7 +105,7 @@
 // keeper may lose what it knows, or not answer some of the processes for a while; each grant is
 // reported to the other one where that reaches it.
 type keeperWorld struct {
-	keepers [2]Keeper
+	keepers [2]Coordinator
 	// reaches says which process reaches which keeper.
 	reaches [][2]bool
 	sends   []time.Time
@@ -117,10 +117,10 @@
 		if !w.reaches[process][i] {
 			continue
 		}
-		if w.keepers[i].Take(now, named(rate), 0).Granted {
+		if w.keepers[i].Acquire(now, named(rate), 0).Granted {
 			w.sends = append(w.sends, now)
 			if w.reaches[process][1-i] {
-				w.keepers[1-i].Spent(now, named(rate), 1)
+				w.keepers[1-i].CountSends(now, named(rate), 1)
 			}
 		}
 		return
@@ -150,7 +150,7 @@
 				w.cut(r, r.IntN(2))
 			}
 			if r.IntN(800) == 0 {
-				w.keepers[r.IntN(2)] = Keeper{}
+				w.keepers[r.IntN(2)] = Coordinator{}
 			}
 			w.ask(now, r.IntN(len(w.reaches)), rate)
 		}
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -17,12 +17,12 @@
 	Rate  Rate
 }
 
-// LimitOf decides what an answer says of its upstream's limit; false where it says nothing. That
+// LimitFromResponse decides what an answer says of its upstream's limit; false where it says nothing. That
 // the upstream names none any more is concluded only from an answer that is no failure.
 //
 // Inputs: when the request was sent, the status of the answer and the limit that it names, nil
 // where it names none.
-func LimitOf(now, sent time.Time, status int, named *sandbarrow.RequestRate) (Limit, bool) {
+func LimitFromResponse(now, sent time.Time, status int, named *sandbarrow.RequestRate) (Limit, bool) {
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		return Limit{}, false // the answer of another instance
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -77,8 +77,8 @@
 	return k.Limit, true
 }
 
-// Limited counts the upstreams that name a limit.
-func (t *Table) Limited() int {
+// CountLimited counts the upstreams that name a limit.
+func (t *Table) CountLimited() int {
 	n := 0
 	for _, k := range t.limits {
 		if !k.Ended {
--- a/throttle/table_test.go
+++ b/throttle/table_test.go
@@ -15,16 +15,16 @@
 	now := time.Now()
 	sent := now.Add(-time.Second)
 	for rate, want := range map[sandbarrow.RequestRate]Rate{1.4: 1.4, 0: 0, 1e9: mostRate} {
-		l, says := LimitOf(now, sent, http.StatusServiceUnavailable, &rate)
+		l, says := LimitFromResponse(now, sent, http.StatusServiceUnavailable, &rate)
 		assert.Assert(t, says)
 		assert.Equal(t, l, Limit{At: now, Rate: want})
-		_, says = LimitOf(now, sent, http.StatusMisdirectedRequest, &rate)
+		_, says = LimitFromResponse(now, sent, http.StatusMisdirectedRequest, &rate)
 		assert.Assert(t, !says, "another instance's")
 	}
-	l, says := LimitOf(now, sent, http.StatusOK, nil)
+	l, says := LimitFromResponse(now, sent, http.StatusOK, nil)
 	assert.Assert(t, says)
 	assert.Equal(t, l, Limit{At: sent, Ended: true})
-	_, says = LimitOf(now, sent, http.StatusBadGateway, nil)
+	_, says = LimitFromResponse(now, sent, http.StatusBadGateway, nil)
 	assert.Assert(t, !says, "a failure that names none")
 }
 
