--- a/access/access.go
+++ b/access/access.go
@@ -1,7 +1,6 @@
-// Package access decides which workspace a caller speaks for, by the API key that it
-// sends. It owns the keys of one configuration, kept as salted digests, and what the
-// operators allow each workspace; it relies on whoever decodes the operators' document.
-// Gateways use it.
+// Package access decides to which workspace a caller belongs, by the API key that it sends.
+// It owns the keys of one configuration, stored as salted digests, and the limits of each
+// workspace. It relies on its callers to decode the operators' document. Gateways use it.
 package access
 
 import (
@@ -19,7 +18,7 @@
 type Workspace struct {
 	ID    sandbarrow.WorkspaceID
 	Limit Limit
-	// Priority replaces that of a request's route where it stands; 0 is the most urgent.
+	// Priority replaces that of a request's route, if it is set. 0 is the most urgent.
 	Priority *int
 }
 
@@ -31,16 +30,17 @@
 
 type digest [sha256.Size]byte
 
-// Keys finds the workspace of a key. It is immutable. It holds no key: an attacker who
-// measures how long a look-up takes learns at most about digests under a secret salt.
+// Keys finds the workspace of a key. It is immutable. It stores digests under a secret salt in
+// place of the keys. An attacker who measures how long lookups take learns about these digests
+// at most.
 type Keys struct {
 	byDigest map[digest]*Workspace
 	byID     map[sandbarrow.WorkspaceID]*Workspace
 	salt     [sha256.Size]byte
 }
 
-// NewKeys indexes the workspaces of a configuration. A key that stands in several of
-// them counts for the first.
+// NewKeys indexes the workspaces of a configuration. A key of several workspaces belongs to
+// the first one.
 func NewKeys(entries []Entry) *Keys {
 	k := &Keys{byDigest: map[digest]*Workspace{}, byID: make(map[sandbarrow.WorkspaceID]*Workspace, len(entries))}
 	_, _ = rand.Read(k.salt[:]) // never fails
@@ -58,20 +58,20 @@
 	return k
 }
 
-// Find returns the workspace of a request by the values of its Authorization header, or
-// nil where they are not exactly one known key.
+// Find returns the workspace of a request by the values of its Authorization header, or nil
+// unless there is exactly one value with a known key.
 func (k *Keys) Find(authorization []string) *Workspace {
 	if len(authorization) != 1 {
 		return nil
 	}
-	given, key, ok := strings.Cut(authorization[0], " ")
-	if !ok || !strings.EqualFold(given, Scheme) {
+	scheme, key, ok := strings.Cut(authorization[0], " ")
+	if !ok || !strings.EqualFold(scheme, Scheme) {
 		return nil
 	}
 	return k.byDigest[k.digest(strings.TrimLeft(key, " "))]
 }
 
-// Workspace returns a workspace, or nil.
+// Workspace returns the workspace with an ID, or nil.
 func (k *Keys) Workspace(id sandbarrow.WorkspaceID) *Workspace {
 	if k == nil {
 		return nil
@@ -91,7 +91,7 @@
 	}
 }
 
-// digest is the salted digest of a key.
+// digest returns the salted digest of a key.
 func (k *Keys) digest(key string) digest {
 	return sha256.Sum256(append(k.salt[:len(k.salt):len(k.salt)], key...))
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Keys are secrets: a printed set of them, as in a log line by mistake, shows none.
-func TestKeysAreNotKept(t *testing.T) {
+// Keys are secrets. A Keys value that is printed, such as by mistake in a log line, shows none.
+func TestKeysAreNotPrinted(t *testing.T) {
 	text := fmt.Sprintf("%+v", *testKeys())
 	assert.Assert(t, !strings.Contains(text, "red-1"), text)
 }
@@ -68,7 +68,7 @@
 	f.Fuzz(func(t *testing.T, header string) {
 		w := k.Find([]string{header})
 		if w != nil && !strings.HasSuffix(header, " red-1") && !strings.HasSuffix(header, " red-2") && !strings.HasSuffix(header, " blue-1") {
-			t.Fatalf("%q speaks for %s", header, w.ID)
+			t.Fatalf("header %q is accepted for workspace %s", header, w.ID)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	}
 	limit := Limit{PlainTokens: 200, Unit: UnitTokens}
 	f.Fuzz(func(t *testing.T, usage string) {
-		if cost := limit.Cost(usage); cost < 0 || cost > mostCost {
+		if cost := limit.Cost(usage); cost < 0 || cost > maxCost {
 			t.Fatalf("%q costs %d", usage, cost)
 		}
 	})
--- a/access/limit.go
+++ b/access/limit.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Unit says what a limit counts.
+// Unit is what a limit counts.
 type Unit string
 
 // The units of a limit.
@@ -14,16 +14,16 @@
 	UnitTokens   Unit = "tokens"
 )
 
-// mostCost bounds what one request may claim to need, so that sums stay exact.
-const mostCost = 1 << 40
+// maxCost bounds the cost that one request may declare, to keep sums exact.
+const maxCost = 1 << 40
 
-// Limit is how much a workspace may ask, over all gateways together.
+// Limit is how much a workspace may use, over all gateways together.
 type Limit struct {
-	// Burst is what it may ask beyond PerSecond after a pause.
+	// Burst is how many units it may use beyond PerSecond after a pause.
 	Burst float64
-	// PerSecond is the steady rate; 0 is no limit.
+	// PerSecond is the sustained rate in units. 0 means no limit.
 	PerSecond float64
-	// PlainTokens is what a request counts that says nothing of tokens.
+	// PlainTokens is the cost of a request that does not declare its tokens.
 	PlainTokens int64
 	Unit        Unit
 }
@@ -33,9 +33,9 @@
 	return l.PerSecond > 0
 }
 
-// Cost is what a request counts against the limit. usage is its list of tokens: those
-// of the prompt and the most that it may produce. A request without a well-formed list
-// counts PlainTokens.
+// Cost returns the units that a request counts against the limit. usage is a list of token
+// counts: those of the prompt and the maximum of the output. The cost of a request without a
+// well-formed list is PlainTokens.
 func (l *Limit) Cost(usage string) int64 {
 	if l.Unit != UnitTokens {
 		return 1
@@ -43,10 +43,10 @@
 	sum := int64(0)
 	for text := range strings.SplitSeq(usage, ",") {
 		n, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
-		if err != nil || n < 0 || n > mostCost {
+		if err != nil || n < 0 || n > maxCost {
 			return l.PlainTokens
 		}
 		sum += n
 	}
-	return min(sum, mostCost)
+	return min(sum, maxCost)
 }
--- a/crash/crash.go
+++ b/crash/crash.go
@@ -1,15 +1,15 @@
-// Package crash remembers under which requests upstreams have ended, and decides which
-// requests are refused for it.
+// Package crash records under which requests upstreams have crashed, and decides which
+// requests are refused because of it.
 //
-// A request may end each upstream that begins to run it, and its caller repeats it at any
-// gateway under another id. So what counts is kept under a Fingerprint of what the request
-// asks for, and shared: each process has a Log, and Logs are merged in any order and any
-// number of times with the same result.
+// A fatal request crashes each upstream that starts to run it, and its caller retries it at
+// any gateway under a new id. Crashes are therefore recorded under a Fingerprint of what the
+// request asks for, and shared between processes. Each process has a Log. Logs can be merged
+// in any order and any number of times with the same result.
 //
-// The package owns that memory: bounded (mostEntries), without any content of a request, and
-// forgotten after keepFor. It relies on its callers for the evidence that an upstream has
-// ended, and for carrying Records between processes. Gateways note, clear and judge;
-// controllers only pass on.
+// The package owns these records. They are bounded (maxEntries), hold no content of a request
+// and expire after the retention. The package relies on its callers for the evidence that an
+// upstream has crashed, and for carrying Records between processes. Gateways add and clear
+// crashes and decide. Controllers only forward Records.
 package crash
 
 import (
@@ -18,13 +18,13 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Crash is the end of an upstream under a request.
+// Crash is an exit of an upstream that a request may have caused.
 type Crash struct {
-	// At is when the request's attempt broke, by this process's clock.
+	// At is when the request's attempt failed, by this process's clock.
 	At time.Time
-	// Cleared says that the request has been answered since, by any upstream: it ends not
-	// each one that runs it, so it was beside when this one ended.
+	// Cleared says that an upstream has responded to the request since. A request that some
+	// upstream survives is taken to be unrelated to the crash.
 	Cleared bool
-	// Upstream is the start of the upstream that ended.
+	// Upstream is the instance of the upstream that crashed.
 	Upstream sandbarrow.InstanceID
 }
--- a/crash/fingerprint.go
+++ b/crash/fingerprint.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// Fingerprint identifies what a request asks for: a repeat of it has the same, whatever
-// its id, its gateway or the time. It is a digest, so that no content is kept or logged.
+// Fingerprint identifies what a request asks for. A retry has the same fingerprint, whatever
+// its id, its gateway or the time. It is a digest, to store and log no content.
 type Fingerprint [16]byte
 
 // NewFingerprint digests the parts of a request, in order.
@@ -36,7 +36,7 @@
 	return hex.EncodeToString(f[:])
 }
 
-// UnmarshalText reads what MarshalText returns.
+// UnmarshalText parses the output of MarshalText.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(f) {
 		return errors.NotValidf("fingerprint of %d characters", len(text))
--- a/crash/follow.go
+++ b/crash/follow.go
@@ -7,31 +7,32 @@
 	"sandbarrow.example/sandbarrow/internal/pause"
 )
 
-// FollowPause is the pause after what was told, so that what one end of an upstream brings goes in
-// one message.
+// FollowPause is the pause after each update. All changes that one crash causes then go in one
+// message.
 const FollowPause = 20 * time.Millisecond
 
-// Follow tells one listener all that is known, then what changes, until ctx ends or tell
-// fails. What the listener itself has told, as source, is left out.
-func (l *Log) Follow(ctx context.Context, source any, tell func([]Record) error) {
-	l.follow(ctx, func(after uint64) ([]Record, uint64) { return l.Since(after, source) }, tell)
+// Follow sends one receiver all records, then each change, until ctx ends or send fails.
+// Entries that came from the receiver alone, as source, are left out.
+func (l *Log) Follow(ctx context.Context, source any, send func([]Record) error) {
+	l.follow(ctx, func(after uint64) ([]Record, uint64) { return l.Since(after, source) }, send)
 }
 
-// FollowOwn is Follow without what a single source has told: that one tells it itself. Of
-// many that all listen to the same sources, each passes on what it has noted or put together.
-func (l *Log) FollowOwn(ctx context.Context, tell func([]Record) error) {
-	l.follow(ctx, l.own, tell)
+// FollowOwn is Follow without the entries that came from a single source. That source sends
+// them itself. Among processes that all receive from the same sources, each sends the entries
+// that it has recorded, or merged from several sources.
+func (l *Log) FollowOwn(ctx context.Context, send func([]Record) error) {
+	l.follow(ctx, l.ownSince, send)
 }
 
-func (l *Log) follow(ctx context.Context, since func(uint64) ([]Record, uint64), tell func([]Record) error) {
-	told := uint64(0)
+func (l *Log) follow(ctx context.Context, since func(uint64) ([]Record, uint64), send func([]Record) error) {
+	sent := uint64(0)
 	for ctx.Err() == nil {
 		changed := l.Changed()
-		records, next := since(told)
-		if len(records) > 0 && tell(records) != nil {
+		records, next := since(sent)
+		if len(records) > 0 && send(records) != nil {
 			return
 		}
-		told = next
+		sent = next
 		pause.For(ctx, FollowPause)
 		select {
 		case <-changed:
--- a/crash/log.go
+++ b/crash/log.go
@@ -12,45 +12,47 @@
 )
 
 const (
-	// keepFor is how long an end counts. A fatal request that its caller repeats for ever ends
-	// mostEnds upstreams in that time at most; a request that was refused for ends it had
-	// nothing to do with, as after a fault of its upstreams that is mended, is served again
-	// after it.
-	keepFor = 10 * time.Minute
-	// mostEntries bounds the requests that are remembered, at some 300 bytes each; those with the
-	// fewest ends give way: a storm of crashes breaks some hundreds of attempts.
-	mostEntries = 512
-	// mostCrashes bounds the ends that are remembered of one request: some more than are
-	// needed to refuse it.
-	mostCrashes = 12
-	// shareHalfLife is the half-life of the counts of attempts: as long as a storm of crashes
-	// takes.
+	// retention is how long a crash counts. A fatal request that its caller retries for ever
+	// crashes at most maxCrashesNeeded upstreams in this time. A request that was refused for
+	// unrelated crashes, such as those from a fault of the upstreams that has been repaired, is
+	// served again after it.
+	retention = 10 * time.Minute
+	// maxEntries bounds the recorded requests, at some 300 bytes each. Those with the fewest
+	// crashes are evicted first. A burst of crashes breaks some hundreds of attempts.
+	maxEntries = 512
+	// maxCrashesPerEntry bounds the crashes recorded for one request: some more than are needed
+	// to refuse it.
+	maxCrashesPerEntry = 12
+	// shareHalfLife is the half-life of the counts of attempts: the duration of a burst of
+	// crashes.
 	shareHalfLife = 20 * time.Second
-	// besideSlack is how long before the first end under a request others count as beside it.
-	besideSlack = time.Second
-	// forgetPause is the pause between two looks for what is older than keepFor.
-	forgetPause = time.Second
-	// mostRecentEnds bounds the ends that count for the share of attempts: a storm takes some of
-	// them within shareHalfLife.
-	mostRecentEnds = 128
-	// priorAttempts are assumed to have met no end, so that the first attempts after a start
-	// do not decide alone; more of them hide the begin of a storm.
+	// concurrentSlack is how long before a request's first crash other crashes count as
+	// concurrent with its own.
+	concurrentSlack = time.Second
+	// expiryInterval is the interval between two checks for entries older than the retention.
+	expiryInterval = time.Second
+	// maxLocalCrashes bounds the crashes that count for the share of attempts. A burst of
+	// crashes causes some of them within shareHalfLife.
+	maxLocalCrashes = 128
+	// priorAttempts is the number of assumed attempts without a crash. They keep the first
+	// attempts after a start from deciding alone. A higher number would hide the beginning of
+	// a burst of crashes.
 	priorAttempts = 5
 )
 
-// entry is what is remembered of one request.
+// entry holds the crashes of one request.
 type entry struct {
 	crashes map[sandbarrow.InstanceID]Crash
-	// sequence numbers the last change, source is who told all that is known; nil where that
-	// is more than one, or this process.
+	// sequence numbers the last change. source is the only sender of this entry's crashes. It
+	// is nil if there were several senders, or if this process has changed the entry itself.
 	sequence uint64
 	source   any
-	// noted says that this process has noted or cleared any of it itself.
-	noted bool
+	// local says that this process has added or cleared a crash of this entry itself.
+	local bool
 }
 
-// open returns the ends that are not cleared.
-func (e *entry) open() []Crash {
+// uncleared returns the crashes that are not cleared.
+func (e *entry) uncleared() []Crash {
 	var list []Crash
 	for _, c := range e.crashes {
 		if !c.Cleared {
@@ -60,60 +62,60 @@
 	return list
 }
 
-// last is when the newest end was.
-func (e *entry) last() time.Time {
-	var last time.Time
+// latest returns the time of the newest crash.
+func (e *entry) latest() time.Time {
+	var latest time.Time
 	for _, c := range e.crashes {
-		if c.At.After(last) {
-			last = c.At
+		if c.At.After(latest) {
+			latest = c.At
 		}
 	}
-	return last
+	return latest
 }
 
-// end is the end of an upstream that attempts of this process met.
-type end struct {
+// localCrash is a crash of an upstream on which attempts of this process were running.
+type localCrash struct {
 	at       time.Time
 	attempts int
 	upstream sandbarrow.InstanceID
 }
 
-// Log remembers under which requests upstreams have ended. It is safe for concurrent use.
+// Log records under which requests upstreams have crashed. It is safe for concurrent use.
 type Log struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// attempts counts what this process has sent lately, ends what of it met the end of its
-	// upstream, oldest first.
-	attempts decay.Count
-	changed  chan struct{}
-	ends     []end
-	entries  map[Fingerprint]*entry
-	// forgotAt is when old entries were dropped last.
-	forgotAt time.Time
-	sequence uint64
+	// attempts counts the recent attempts of this process. localCrashes are the crashes that
+	// broke some of them, oldest first.
+	attempts     decay.Count
+	changed      chan struct{}
+	localCrashes []localCrash
+	entries      map[Fingerprint]*entry
+	// expiredAt is when expired entries were last dropped.
+	expiredAt time.Time
+	sequence  uint64
 }
 
-// NewLog returns an empty Log by a clock.
+// NewLog returns an empty Log that reads the time from now.
 func NewLog(now func() time.Time) *Log {
 	return &Log{changed: make(chan struct{}), entries: map[Fingerprint]*entry{}, now: now}
 }
 
-// Attempted counts an attempt that has ended, however it did.
+// CountAttempt counts a finished attempt, whatever its outcome.
 func (l *Log) Attempted() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts.Add(l.now(), shareHalfLife)
 }
 
-// Changed returns a channel that closes with the next change.
+// Changed returns a channel that is closed at the next change.
 func (l *Log) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// Clear notes that a request was answered by an upstream.
+// Clear clears the crashes of a request to which an upstream has responded.
 func (l *Log) Clear(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,105 +131,106 @@
 		}
 	}
 	if changed {
-		l.touch(e, nil)
+		l.markChanged(e, nil)
 	}
 }
 
-// Empty reports whether nothing is remembered, so that no request need be told by its
-// content.
+// Empty reports whether no crash is recorded. No request needs a fingerprint then.
 func (l *Log) Empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries) == 0
 }
 
-// Judge decides whether a request may be sent to upstreams, of which there are so many.
+// Decide decides whether a request may be sent to an upstream. upstreams is the number of
+// upstreams in the fleet.
 func (l *Log) Judge(f Fingerprint, upstreams int) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.forget(now)
-	v := Verdict{Needed: leastEnds}
+	l.expire(now)
+	d := Verdict{Needed: minCrashesNeeded}
 	e := l.entries[f]
 	if e == nil {
-		return v
+		return d
 	}
-	own := e.open()
-	v.Ends, v.ForgottenIn = len(own), e.last().Add(keepFor).Sub(now)
-	if len(own) >= leastEnds {
-		v.Needed = endsNeeded(max(l.shareWithout(e, now), l.fleetShareWithout(own, upstreams)))
-		v.Refused = endsUpstreams(own, l.rivals(f, own), v.Needed)
+	own := e.uncleared()
+	d.Ends, d.ForgottenIn = len(own), e.latest().Add(retention).Sub(now)
+	if len(own) >= minCrashesNeeded {
+		d.Needed = crashesNeeded(max(l.localCrashShare(e, now), l.fleetCrashShare(own, upstreams)))
+		d.Refused = crashesUpstreams(own, l.suspects(f, own), d.Needed)
 	}
-	return v
+	return d
 }
 
-// rivals are the ends under each other request that shares an end. The caller holds mu.
-func (l *Log) rivals(f Fingerprint, own []Crash) [][]Crash {
+// suspects returns the uncleared crashes of each other request that shares one of own. The
+// caller holds mu.
+func (l *Log) suspects(f Fingerprint, own []Crash) [][]Crash {
 	var list [][]Crash
 	for other, e := range l.entries {
 		if other == f {
 			continue
 		}
-		if crashes := e.open(); shared(own, crashes) > 0 {
+		if crashes := e.uncleared(); countShared(own, crashes) > 0 {
 			list = append(list, crashes)
 		}
 	}
 	return list
 }
 
-// shareWithout is the share of this process's attempts that lately met the end of their
-// upstream, but for the ends under one request: those that it brings about say nothing of how
-// often upstreams end by themselves. The caller holds mu.
-func (l *Log) shareWithout(e *entry, now time.Time) float64 {
-	met := 0.0
-	for i := range l.ends {
-		if _, own := e.crashes[l.ends[i].upstream]; !own {
-			met += float64(l.ends[i].attempts) * decay.Factor(now.Sub(l.ends[i].at), shareHalfLife)
+// localCrashShare is the share of this process's recent attempts whose upstream crashed. The
+// crashes under the entry's request are left out. Those that it causes say nothing about how
+// often upstreams crash by themselves. The caller holds mu.
+func (l *Log) localCrashShare(e *entry, now time.Time) float64 {
+	broken := 0.0
+	for i := range l.localCrashes {
+		if _, own := e.crashes[l.localCrashes[i].upstream]; !own {
+			broken += float64(l.localCrashes[i].attempts) * decay.Factor(now.Sub(l.localCrashes[i].at), shareHalfLife)
 		}
 	}
-	return met / (l.attempts.Value(now, shareHalfLife) + priorAttempts)
+	return broken / (l.attempts.Value(now, shareHalfLife) + priorAttempts)
 }
 
-// fleetShareWithout estimates the share of upstreams that ended beside a request's own ends,
-// for each of these: a process that sends little meets few ends itself, while a storm of
-// crashes shows in what all processes tell. The caller holds mu.
-func (l *Log) fleetShareWithout(own []Crash, upstreams int) float64 {
+// fleetCrashShare estimates the share of upstreams that crashed at the same time as a
+// request's own crashes, per own crash. A process that sends few requests sees few crashes
+// itself, while a burst of crashes shows in the records of all processes. The caller holds mu.
+func (l *Log) fleetCrashShare(own []Crash, upstreams int) float64 {
 	since := own[0].At
-	mine := map[sandbarrow.InstanceID]bool{}
+	ownUpstreams := map[sandbarrow.InstanceID]bool{}
 	for _, c := range own {
-		mine[c.Upstream] = true
+		ownUpstreams[c.Upstream] = true
 		if c.At.Before(since) {
 			since = c.At
 		}
 	}
-	beside := map[sandbarrow.InstanceID]bool{}
+	concurrent := map[sandbarrow.InstanceID]bool{}
 	for _, e := range l.entries {
 		for id, c := range e.crashes {
-			if !mine[id] && !c.At.Before(since.Add(-besideSlack)) {
-				beside[id] = true
+			if !ownUpstreams[id] && !c.At.Before(since.Add(-concurrentSlack)) {
+				concurrent[id] = true
 			}
 		}
 	}
-	return float64(len(beside)) / float64(max(1, upstreams)*len(own))
+	return float64(len(concurrent)) / float64(max(1, upstreams)*len(own))
 }
 
-// Knows reports whether anything is remembered of a request.
+// Contains reports whether any crash is recorded for a request.
 func (l *Log) Knows(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[f] != nil
 }
 
-// Merge applies what another process tells, and reports whether any of it is new enough to
-// be remembered. source says who it is, for Since.
+// Merge applies the records of another process, and reports whether any of them is recent
+// enough to be stored. source identifies that process, for Since.
 func (l *Log) Merge(source any, records []Record) (current bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.forget(now)
-	for i := range records[:min(len(records), mostEntries)] {
+	l.expire(now)
+	for i := range records[:min(len(records), maxEntries)] {
 		r := &records[i]
-		for j := range r.Crashes[:min(len(r.Crashes), mostCrashes)] {
+		for j := range r.Crashes[:min(len(r.Crashes), maxCrashesPerEntry)] {
 			c := &r.Crashes[j]
 			if age, ok := c.age(); ok {
 				current = true
@@ -238,54 +241,54 @@
 	return current
 }
 
-// Note notes that an upstream has ended under requests of this process, all that ran or
-// waited there.
-func (l *Log) Note(upstream sandbarrow.InstanceID, at time.Time, prints ...Fingerprint) {
+// AddCrash records that an upstream has crashed. fingerprints are those of all requests of
+// this process that were running or waiting there.
+func (l *Log) Note(upstream sandbarrow.InstanceID, at time.Time, fingerprints ...Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.forget(now)
-	for _, f := range prints {
+	l.expire(now)
+	for _, f := range fingerprints {
 		l.add(nil, f, Crash{At: at, Upstream: upstream})
 	}
-	l.ends = append(l.ends, end{at: now, attempts: len(prints), upstream: upstream})
-	if len(l.ends) > mostRecentEnds {
-		l.ends = l.ends[1:]
+	l.localCrashes = append(l.localCrashes, localCrash{at: now, attempts: len(fingerprints), upstream: upstream})
+	if len(l.localCrashes) > maxLocalCrashes {
+		l.localCrashes = l.localCrashes[1:]
 	}
 }
 
-// Since returns what has changed after a number, but for what came from one source, and the
-// next number.
+// Since returns the entries that changed after a sequence number, and the current sequence
+// number. Entries that came from the source except alone are left out.
 func (l *Log) Since(sequence uint64, except any) ([]Record, uint64) {
-	return l.since(sequence, func(e *entry) bool { return e.source == nil || e.source != except })
+	return l.changesSince(sequence, func(e *entry) bool { return e.source == nil || e.source != except })
 }
 
-// Noted is Since for what this process has noted or cleared itself, with what others have
-// told of the same requests.
+// LocalSince is Since for the entries that this process has changed itself. They include the
+// crashes that other processes have recorded for the same requests.
 func (l *Log) Noted(sequence uint64) ([]Record, uint64) {
-	return l.since(sequence, func(e *entry) bool { return e.noted })
+	return l.changesSince(sequence, func(e *entry) bool { return e.local })
 }
 
-// own is Since without what a single source has told.
-func (l *Log) own(sequence uint64) ([]Record, uint64) {
-	return l.since(sequence, func(e *entry) bool { return e.source == nil })
+// ownSince is Since without the entries that came from a single source.
+func (l *Log) ownSince(sequence uint64) ([]Record, uint64) {
+	return l.changesSince(sequence, func(e *entry) bool { return e.source == nil })
 }
 
-func (l *Log) since(sequence uint64, wanted func(*entry) bool) ([]Record, uint64) {
+func (l *Log) changesSince(sequence uint64, selected func(*entry) bool) ([]Record, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	l.forget(now)
+	l.expire(now)
 	var records []Record
 	for f, e := range l.entries {
-		if e.sequence > sequence && wanted(e) {
+		if e.sequence > sequence && selected(e) {
 			records = append(records, e.record(f, now))
 		}
 	}
 	return records, l.sequence
 }
 
-// record is the Record of an entry.
+// record returns the Record of an entry.
 func (e *entry) record(f Fingerprint, now time.Time) Record {
 	r := Record{Fingerprint: f}
 	for _, c := range e.crashes {
@@ -294,8 +297,9 @@
 	return r
 }
 
-// add applies one end under a request. What is known of it stays: an end is cleared for good,
-// and as old as it was ever said to be, since messages are held up. The caller holds mu.
+// add applies one crash of a request. A cleared crash stays cleared. When a crash is cleared,
+// the earlier of its two times counts, because a delayed message makes a crash look more
+// recent. The caller holds mu.
 func (l *Log) add(source any, f Fingerprint, c Crash) {
 	e := l.entries[f]
 	if e == nil {
@@ -309,18 +313,18 @@
 		c.At = known.At
 	}
 	e.crashes[c.Upstream] = c
-	if len(e.crashes) > mostCrashes {
-		delete(e.crashes, oldest(e.crashes))
+	if len(e.crashes) > maxCrashesPerEntry {
+		delete(e.crashes, evictionCandidate(e.crashes))
 	}
 	l.entries[f] = e
-	l.touch(e, source)
-	if len(l.entries) > mostEntries {
-		l.dropWeakest(f)
+	l.markChanged(e, source)
+	if len(l.entries) > maxEntries {
+		l.evictWeakest(f)
 	}
 }
 
-// oldest is the end that gives way: a cleared one, else the oldest.
-func oldest(crashes map[sandbarrow.InstanceID]Crash) sandbarrow.InstanceID {
+// evictionCandidate returns the crash to evict: the oldest cleared one, or else the oldest.
+func evictionCandidate(crashes map[sandbarrow.InstanceID]Crash) sandbarrow.InstanceID {
 	return slices.MinFunc(slices.Collect(maps.Keys(crashes)), func(a, b sandbarrow.InstanceID) int {
 		x, y := crashes[a], crashes[b]
 		switch {
@@ -333,40 +337,40 @@
 	})
 }
 
-// dropWeakest drops the request that least is known against, the oldest of those, but not
-// the newest one. The caller holds mu.
-func (l *Log) dropWeakest(newest Fingerprint) {
+// evictWeakest drops the request with the fewest uncleared crashes, and among those the one
+// whose latest crash is oldest. It keeps newest. The caller holds mu.
+func (l *Log) evictWeakest(newest Fingerprint) {
 	var weakest Fingerprint
 	var least *entry
 	for f, e := range l.entries {
 		if f == newest {
 			continue
 		}
-		if least == nil || cmp.Or(cmp.Compare(len(e.open()), len(least.open())), e.last().Compare(least.last())) < 0 {
+		if least == nil || cmp.Or(cmp.Compare(len(e.uncleared()), len(least.uncleared())), e.latest().Compare(least.latest())) < 0 {
 			weakest, least = f, e
 		}
 	}
 	delete(l.entries, weakest)
 }
 
-// forget drops what is older than keepFor. The caller holds mu.
-func (l *Log) forget(now time.Time) {
-	if now.Sub(l.forgotAt) < forgetPause {
+// expire drops entries older than the retention. The caller holds mu.
+func (l *Log) expire(now time.Time) {
+	if now.Sub(l.expiredAt) < expiryInterval {
 		return
 	}
-	l.forgotAt = now
+	l.expiredAt = now
 	for f, e := range l.entries {
-		if now.Sub(e.last()) > keepFor {
+		if now.Sub(e.latest()) > retention {
 			delete(l.entries, f)
 		}
 	}
 }
 
-// touch marks an entry as changed. One that holds more than a single source has told is to
-// be told to all. The caller holds mu.
-func (l *Log) touch(e *entry, source any) {
+// markChanged marks an entry as changed by source. An entry that combines several sources has
+// the source nil, and so is sent to all. The caller holds mu.
+func (l *Log) markChanged(e *entry, source any) {
 	l.sequence++
-	e.noted = e.noted || source == nil
+	e.local = e.local || source == nil
 	if e.sequence > 0 && e.source != source {
 		source = nil
 	}
--- a/crash/log_test.go
+++ b/crash/log_test.go
@@ -13,17 +13,17 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// clock is a time that tests set.
+// clock is a manually set clock.
 type clock struct{ at time.Time }
 
 func newClock() *clock { return &clock{at: time.Unix(5000, 0)} }
 
 func (c *clock) now() time.Time { return c.at }
 
-func printOf(name string) Fingerprint { return NewFingerprint([]byte(name)) }
+func fingerprintOf(name string) Fingerprint { return NewFingerprint([]byte(name)) }
 
-// ends notes ends of upstreams under one request alone.
-func ends(l *Log, c *clock, f Fingerprint, upstreams ...string) {
+// addCrashes records crashes of upstreams that ran only one request.
+func addCrashes(l *Log, c *clock, f Fingerprint, upstreams ...string) {
 	for _, u := range upstreams {
 		c.at = c.at.Add(time.Second)
 		l.Note(sandbarrow.InstanceID(u), c.at, f)
@@ -32,7 +32,7 @@
 
 func TestFingerprint(t *testing.T) {
 	a := NewFingerprint([]byte("ab"), []byte("c"))
-	assert.Assert(t, a != NewFingerprint([]byte("a"), []byte("bc")), "parts are told apart")
+	assert.Assert(t, a != NewFingerprint([]byte("a"), []byte("bc")), "the fingerprint ignores where the parts are divided")
 	text, err := a.MarshalText()
 	assert.NilError(t, err)
 	var b Fingerprint
@@ -42,93 +42,93 @@
 	assert.Assert(t, b.UnmarshalText([]byte(strings.Repeat("x", 32))) != nil)
 }
 
-// A request is refused from the third end on, and one that has been answered starts anew.
-func TestJudge(t *testing.T) {
+// A request is refused from the third crash on. A response clears its crashes.
+func TestDecide(t *testing.T) {
 	c := newClock()
 	l := NewLog(c.now)
-	f := printOf("f")
+	f := fingerprintOf("f")
 	assert.Assert(t, l.Empty())
-	ends(l, c, f, "u1", "u2", "u2")
-	assert.Equal(t, l.Judge(f, 100).Ends, 2, "the same end counts once")
+	addCrashes(l, c, f, "u1", "u2", "u2")
+	assert.Equal(t, l.Judge(f, 100).Ends, 2, "the same crash counts once")
 	assert.Assert(t, !l.Judge(f, 100).Refused)
-	ends(l, c, f, "u3")
-	v := l.Judge(f, 100)
-	assert.Assert(t, v.Refused)
-	assert.Equal(t, v.ForgottenIn, keepFor)
-	assert.Assert(t, !l.Judge(printOf("other"), 100).Refused)
+	addCrashes(l, c, f, "u3")
+	d := l.Judge(f, 100)
+	assert.Assert(t, d.Refused)
+	assert.Equal(t, d.ForgottenIn, retention)
+	assert.Assert(t, !l.Judge(fingerprintOf("other"), 100).Refused)
 	l.Clear(f)
 	assert.Equal(t, l.Judge(f, 100).Ends, 0)
-	ends(l, c, f, "u3", "u4")
-	assert.Equal(t, l.Judge(f, 100).Ends, 1, "what is cleared stays so")
+	addCrashes(l, c, f, "u3", "u4")
+	assert.Equal(t, l.Judge(f, 100).Ends, 1, "a cleared crash stays cleared")
 }
 
-// What only ran beside a fatal request is not refused, however often.
-func TestBesideIsNotRefused(t *testing.T) {
+// A request is not refused for crashes at which a fatal request ran too, however many there are.
+func TestConcurrentRequestIsNotRefused(t *testing.T) {
 	c := newClock()
 	l := NewLog(c.now)
-	fatal, beside := printOf("fatal"), printOf("beside")
+	fatal, concurrent := fingerprintOf("fatal"), fingerprintOf("concurrent")
 	for i := range 4 {
-		l.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), c.at, fatal, beside)
+		l.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), c.at, fatal, concurrent)
 	}
-	assert.Assert(t, !l.Judge(beside, 100).Refused)
-	assert.Assert(t, !l.Judge(fatal, 100).Refused, "they can't be told apart")
-	ends(l, c, fatal, "v1", "v2")
+	assert.Assert(t, !l.Judge(concurrent, 100).Refused)
+	assert.Assert(t, !l.Judge(fatal, 100).Refused, "the crashes do not show which request is fatal")
+	addCrashes(l, c, fatal, "v1", "v2")
 	assert.Assert(t, l.Judge(fatal, 100).Refused)
-	assert.Assert(t, !l.Judge(beside, 100).Refused)
-	ends(l, c, beside, "w1")
-	assert.Assert(t, !l.Judge(beside, 100).Refused, "one end by itself is common")
+	assert.Assert(t, !l.Judge(concurrent, 100).Refused)
+	addCrashes(l, c, concurrent, "w1")
+	assert.Assert(t, !l.Judge(concurrent, 100).Refused, "one unrelated crash is common")
 }
 
-// In a storm of crashes more ends are needed.
-func TestEndsNeeded(t *testing.T) {
+// In a burst of crashes a request is refused only after more crashes.
+func TestCrashesNeededGrowsWithCrashShare(t *testing.T) {
 	for _, tc := range []struct {
 		share float64
 		want  int
-	}{{0, leastEnds}, {0.04, leastEnds}, {0.08, 4}, {0.15, mostEnds}, {1, mostEnds}} {
-		assert.Equal(t, endsNeeded(tc.share), tc.want, "share %v", tc.share)
+	}{{0, minCrashesNeeded}, {0.04, minCrashesNeeded}, {0.08, 4}, {0.15, maxCrashesNeeded}, {1, maxCrashesNeeded}} {
+		assert.Equal(t, crashesNeeded(tc.share), tc.want, "share %v", tc.share)
 	}
 }
 
-// Logs that tell each other, in any order and repeatedly, come to know the same.
+// Logs that merge each other's records, in any order and repeatedly, converge.
 func TestMergeInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		c := newClock()
 		logs := []*Log{NewLog(c.now), NewLog(c.now), NewLog(c.now)}
-		told := map[[2]int]uint64{}
-		tell := func(a, b int) {
-			records, next := logs[a].Since(told[[2]int{a, b}], logs[b])
+		sent := map[[2]int]uint64{}
+		send := func(a, b int) {
+			records, next := logs[a].Since(sent[[2]int{a, b}], logs[b])
 			logs[b].Merge(logs[a], records)
-			told[[2]int{a, b}] = next
+			sent[[2]int{a, b}] = next
 		}
 		for range 60 {
 			c.at = c.at.Add(time.Duration(random.IntN(900)) * time.Millisecond)
-			i, f := random.IntN(len(logs)), printOf(fmt.Sprint(random.IntN(4)))
+			i, f := random.IntN(len(logs)), fingerprintOf(fmt.Sprint(random.IntN(4)))
 			switch random.IntN(4) {
 			case 0:
 				logs[i].Clear(f)
 			case 1:
-				tell(i, (i+1+random.IntN(2))%len(logs))
+				send(i, (i+1+random.IntN(2))%len(logs))
 			default:
 				logs[i].Note(sandbarrow.InstanceID(fmt.Sprint("u", random.IntN(9))), c.at, f)
 			}
 		}
 		for range len(logs) {
 			for i := range logs {
-				tell(i, (i+1)%len(logs))
-				tell(i, (i+2)%len(logs))
+				send(i, (i+1)%len(logs))
+				send(i, (i+2)%len(logs))
 			}
 		}
 		for n := range 4 {
-			f := printOf(fmt.Sprint(n))
+			f := fingerprintOf(fmt.Sprint(n))
 			want := logs[0].Judge(f, 100)
 			for i := range logs {
 				assert.Equal(t, logs[i].Judge(f, 100).Ends, want.Ends, "seed %d, log %d", seed, i)
 			}
 		}
-		for i := range logs { // and then have nothing more to tell
-			tell(i, (i+1)%len(logs))
-			records, _ := logs[i].Since(told[[2]int{i, (i + 1) % len(logs)}], nil)
+		for i := range logs { // converged logs have no more changes to send
+			send(i, (i+1)%len(logs))
+			records, _ := logs[i].Since(sent[[2]int{i, (i + 1) % len(logs)}], nil)
 			assert.Equal(t, len(records), 0)
 		}
 	}
@@ -137,36 +137,36 @@
 func TestLogIsBounded(t *testing.T) {
 	c := newClock()
 	l := NewLog(c.now)
-	fatal := printOf("fatal")
-	ends(l, c, fatal, "u1", "u2", "u3")
-	for i := range 3 * mostEntries {
-		l.Note(sandbarrow.InstanceID(fmt.Sprint("v", i)), c.at, printOf(fmt.Sprint(i)))
+	fatal := fingerprintOf("fatal")
+	addCrashes(l, c, fatal, "u1", "u2", "u3")
+	for i := range 3 * maxEntries {
+		l.Note(sandbarrow.InstanceID(fmt.Sprint("v", i)), c.at, fingerprintOf(fmt.Sprint(i)))
 	}
 	records, _ := l.Since(0, nil)
-	assert.Equal(t, len(records), mostEntries)
+	assert.Equal(t, len(records), maxEntries)
 	assert.Equal(t, l.Judge(fatal, 100).Ends, 3)
-	for i := range 3 * mostCrashes {
-		ends(l, c, fatal, fmt.Sprint("w", i))
+	for i := range 3 * maxCrashesPerEntry {
+		addCrashes(l, c, fatal, fmt.Sprint("w", i))
 	}
-	assert.Equal(t, l.Judge(fatal, 100).Ends, mostCrashes)
+	assert.Equal(t, l.Judge(fatal, 100).Ends, maxCrashesPerEntry)
 	text, err := json.Marshal(records)
 	assert.NilError(t, err)
-	assert.Assert(t, len(text) < 150*mostEntries, "%d bytes", len(text))
+	assert.Assert(t, len(text) < 150*maxEntries, "%d bytes", len(text))
 }
 
-// It forgets, also what a process tells that has not forgotten yet.
-func TestLogForgets(t *testing.T) {
+// Expired crashes are dropped, and are not accepted from a process that still has them.
+func TestExpiredCrashesAreDropped(t *testing.T) {
 	c := newClock()
 	l := NewLog(c.now)
-	f := printOf("f")
-	ends(l, c, f, "u1", "u2", "u3")
+	f := fingerprintOf("f")
+	addCrashes(l, c, f, "u1", "u2", "u3")
 	records, _ := l.Since(0, nil)
-	c.at = c.at.Add(keepFor - time.Second)
+	c.at = c.at.Add(retention - time.Second)
 	assert.Assert(t, l.Judge(f, 100).Refused)
 	c.at = c.at.Add(2 * time.Second)
 	assert.Assert(t, !l.Judge(f, 100).Refused)
 	assert.Assert(t, l.Empty())
-	assert.Assert(t, !l.Merge(nil, []Record{records[0].Aged((keepFor + time.Second).Milliseconds())}))
+	assert.Assert(t, !l.Merge(nil, []Record{records[0].Aged((retention + time.Second).Milliseconds())}))
 	assert.Assert(t, !l.Merge(nil, []Record{{Fingerprint: f, Crashes: []RecordedCrash{{AgeMS: -5, Upstream: "u"}, {AgeMS: 5}}}}), "malformed")
 	assert.Assert(t, l.Empty())
 }
--- a/crash/record.go
+++ b/crash/record.go
@@ -7,7 +7,7 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Record is what one process tells another of a request under which upstreams have ended.
+// Record holds the crashes of one request, as one process sends them to another.
 type Record struct {
 	Crashes     []RecordedCrash `json:"crashes"`
 	Fingerprint Fingerprint     `json:"fingerprint"`
@@ -15,13 +15,13 @@
 
 // RecordedCrash is one Crash of a Record.
 type RecordedCrash struct {
-	// AgeMS is how long ago the attempt broke, in milliseconds when the Record was made.
+	// AgeMS is how long before the creation of the Record the attempt failed, in milliseconds.
 	AgeMS    int64                 `json:"age_ms"`
 	Cleared  bool                  `json:"cleared,omitempty"`
 	Upstream sandbarrow.InstanceID `json:"upstream"`
 }
 
-// Aged is the record as it is some milliseconds later.
+// Aged returns a copy of the record that is ms milliseconds older.
 func (r Record) Aged(ms int64) Record {
 	r.Crashes = slices.Clone(r.Crashes)
 	for i := range r.Crashes {
@@ -30,7 +30,7 @@
 	return r
 }
 
-// Open counts the ends that are not cleared.
+// Uncleared counts the crashes that are not cleared.
 func (r *Record) Open() int {
 	n := 0
 	for i := range r.Crashes {
@@ -41,8 +41,9 @@
 	return n
 }
 
-// age is how long ago the attempt broke, or false where that is no age that is kept.
+// age returns how long ago the attempt failed, or false if the crash is malformed or older
+// than the retention.
 func (r *RecordedCrash) age() (time.Duration, bool) {
 	age := time.Duration(r.AgeMS) * time.Millisecond
-	return age, r.AgeMS >= 0 && r.AgeMS <= keepFor.Milliseconds() && r.Upstream != ""
+	return age, r.AgeMS >= 0 && r.AgeMS <= retention.Milliseconds() && r.Upstream != ""
 }
--- a/crash/storm_test.go
+++ b/crash/storm_test.go
@@ -13,75 +13,77 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// storm is a small world in steps of time: gateways with a Log each, upstreams that crash by
-// themselves, callers that repeat what was not served, and fatal requests that end each
-// upstream that begins them.
-type storm struct {
+// simulation models, in discrete time steps, gateways with a Log each, upstreams that crash by
+// themselves, callers that retry failed requests, and fatal requests that crash each upstream
+// that starts to run them.
+type simulation struct {
 	rand *rand.Rand
 	now  time.Time
 
-	// crashRate is how many crashes of its own an upstream has in a second.
+	// crashRate is how often an upstream crashes by itself, per second.
 	crashRate float64
 	fatal     int
 	gateways  []*Log
-	upstreams []*stormUpstream
-	// inFlight are the runs, by upstream.
-	running []*stormRun
+	upstreams []*simulatedUpstream
+	// running are the requests that run now, on any upstream.
+	running []*simulatedRun
 
-	innocents, innocentsRefused, innocentsServed int
-	// beside counts the refused innocent requests that had run beside a fatal one.
-	beside int
-	// fatalEnds are the upstreams that ended under a fatal request.
-	fatalEnds     map[sandbarrow.InstanceID]bool
-	attempts, met int
-	// ended counts the upstreams that ended under each fatal request, sent its sends later
-	// than stormContact after the third.
-	ended, sentAfter []int
-	third            []time.Time
+	unrelated, unrelatedRefused, unrelatedServed int
+	// concurrent counts the refused unrelated requests that had run at the same time as
+	// a fatal one.
+	concurrent int
+	// fatalCrashes are the instances that a fatal request crashed.
+	fatalCrashes              map[sandbarrow.InstanceID]bool
+	attempts, crashedAttempts int
+	// crashesByFatal counts the crashes by each fatal request. sentAfter counts its sends later
+	// than propagationBound after the third crash.
+	crashesByFatal, sentAfter []int
+	thirdCrash                []time.Time
 }
 
 const (
-	stormStep    = 10 * time.Millisecond
-	stormBack    = 1500 * time.Millisecond
-	stormContact = 3 * time.Second
-	// stormTries is how often a caller sends a request that is not served.
-	stormTries = 6
+	simulationStep   = 10 * time.Millisecond
+	restartDuration  = 1500 * time.Millisecond
+	propagationBound = 3 * time.Second
+	// maxAttempts is how often a caller sends a request that fails.
+	maxAttempts = 6
 )
 
-type stormUpstream struct {
-	starts int
-	back   time.Time
+type simulatedUpstream struct {
+	starts      int
+	restartedAt time.Time
 }
 
-type stormRun struct {
+type simulatedRun struct {
 	// fatal is the number of a fatal request, or -1.
-	fatal    int
-	gateway  *Log
+	fatal   int
+	gateway *Log
+	// print is the fingerprint of the request.
 	print    Fingerprint
-	tries    int
-	until    time.Time
+	sends    int
+	finishAt time.Time
 	upstream int
 }
 
-func newStorm(seed uint64, gateways, upstreams, fatal int, crashRate float64) *storm {
-	s := &storm{rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), crashRate: crashRate, fatal: fatal, fatalEnds: map[sandbarrow.InstanceID]bool{}}
+func newSimulation(seed uint64, gateways, upstreams, fatal int, crashRate float64) *simulation {
+	s := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), crashRate: crashRate, fatal: fatal, fatalCrashes: map[sandbarrow.InstanceID]bool{}}
 	for range gateways {
 		s.gateways = append(s.gateways, NewLog(func() time.Time { return s.now }))
 	}
 	for range upstreams {
-		s.upstreams = append(s.upstreams, &stormUpstream{})
+		s.upstreams = append(s.upstreams, &simulatedUpstream{})
 	}
-	s.ended, s.sentAfter, s.third = make([]int, fatal), make([]int, fatal), make([]time.Time, fatal)
+	s.crashesByFatal, s.sentAfter, s.thirdCrash = make([]int, fatal), make([]int, fatal), make([]time.Time, fatal)
 	return s
 }
 
-func (s *storm) play(steps int, perSecond float64, longest time.Duration) {
+func (s *simulation) run(steps int, perSecond float64, maxDuration time.Duration) {
 	busy := make([]bool, s.fatal)
 	for range steps {
-		s.now = s.now.Add(stormStep)
-		for n := s.rand.Float64() + perSecond*stormStep.Seconds(); n >= 1; n-- {
-			s.innocents++
-			s.send(&stormRun{fatal: -1, print: NewFingerprint([]byte(strconv.Itoa(s.innocents)))}, longest)
+		s.now = s.now.Add(simulationStep)
+		for n := s.rand.Float64() + perSecond*simulationStep.Seconds(); n >= 1; n-- {
+			s.unrelated++
+			s.send(&simulatedRun{fatal: -1, print: NewFingerprint([]byte(strconv.Itoa(s.unrelated)))}, maxDuration)
 		}
 		for i := range busy {
 			busy[i] = false
@@ -93,35 +95,35 @@
 		}
 		for i := range busy {
 			if !busy[i] && s.rand.IntN(5) == 0 {
-				s.send(&stormRun{fatal: i, print: NewFingerprint([]byte("fatal"), []byte(strconv.Itoa(i)))}, longest)
+				s.send(&simulatedRun{fatal: i, print: NewFingerprint([]byte("fatal"), []byte(strconv.Itoa(i)))}, maxDuration)
 			}
 		}
-		s.finish(longest)
+		s.finish(maxDuration)
 		for u := range s.upstreams {
-			if s.up(u) && s.rand.Float64() < s.crashRate*stormStep.Seconds() {
-				s.crash(u, longest)
+			if s.isUp(u) && s.rand.Float64() < s.crashRate*simulationStep.Seconds() {
+				s.crashUpstream(u, maxDuration)
 			}
 		}
-		s.share()
+		s.mergeLogs()
 	}
 }
 
-func (s *storm) instance(u int) sandbarrow.InstanceID {
+func (s *simulation) instance(u int) sandbarrow.InstanceID {
 	return sandbarrow.InstanceID(fmt.Sprintf("u%d-%d", u, s.upstreams[u].starts))
 }
 
-func (s *storm) up(u int) bool { return !s.now.Before(s.upstreams[u].back) }
+func (s *simulation) isUp(u int) bool { return !s.now.Before(s.upstreams[u].restartedAt) }
 
 // send sends a request through any gateway to any upstream that is up.
-func (s *storm) send(r *stormRun, longest time.Duration) {
-	r.tries++
+func (s *simulation) send(r *simulatedRun, maxDuration time.Duration) {
+	r.sends++
 	r.gateway = s.gateways[s.rand.IntN(len(s.gateways))]
 	if !r.gateway.Empty() && r.gateway.Judge(r.print, len(s.upstreams)).Refused {
 		if r.fatal < 0 {
-			s.innocentsRefused++
-			for _, c := range r.gateway.entries[r.print].open() {
-				if s.fatalEnds[c.Upstream] {
-					s.beside++
+			s.unrelatedRefused++
+			for _, c := range r.gateway.entries[r.print].uncleared() {
+				if s.fatalCrashes[c.Upstream] {
+					s.concurrent++
 					break
 				}
 			}
@@ -131,14 +133,14 @@
 	first := s.rand.IntN(len(s.upstreams))
 	for i := range s.upstreams {
 		u := (first + i) % len(s.upstreams)
-		if !s.up(u) {
+		if !s.isUp(u) {
 			continue
 		}
 		r.upstream = u
-		r.until = s.now.Add(stormStep + time.Duration(s.rand.Int64N(int64(longest))))
+		r.finishAt = s.now.Add(simulationStep + time.Duration(s.rand.Int64N(int64(maxDuration))))
 		if r.fatal >= 0 {
-			r.until = s.now.Add(5 * stormStep)
-			if !s.third[r.fatal].IsZero() && s.now.After(s.third[r.fatal].Add(stormContact)) {
+			r.finishAt = s.now.Add(5 * simulationStep)
+			if !s.thirdCrash[r.fatal].IsZero() && s.now.After(s.thirdCrash[r.fatal].Add(propagationBound)) {
 				s.sentAfter[r.fatal]++
 			}
 		} else {
@@ -149,12 +151,13 @@
 	}
 }
 
-// finish ends the runs that are due: innocent ones are served, fatal ones end their upstream.
-func (s *storm) finish(longest time.Duration) {
+// finish completes the runs that are due. An unrelated request is served. A fatal one crashes
+// its upstream.
+func (s *simulation) finish(maxDuration time.Duration) {
 	for {
 		due := -1
 		for i, r := range s.running {
-			if !s.now.Before(r.until) {
+			if !s.now.Before(r.finishAt) {
 				due = i
 				break
 			}
@@ -164,57 +167,57 @@
 		}
 		r := s.running[due]
 		if r.fatal >= 0 {
-			s.ended[r.fatal]++
-			if s.ended[r.fatal] == 3 {
-				s.third[r.fatal] = s.now
+			s.crashesByFatal[r.fatal]++
+			if s.crashesByFatal[r.fatal] == 3 {
+				s.thirdCrash[r.fatal] = s.now
 			}
-			s.fatalEnds[s.instance(r.upstream)] = true
-			s.crash(r.upstream, longest)
+			s.fatalCrashes[s.instance(r.upstream)] = true
+			s.crashUpstream(r.upstream, maxDuration)
 			continue
 		}
 		s.running = append(s.running[:due], s.running[due+1:]...)
 		r.gateway.Attempted()
 		r.gateway.Clear(r.print)
-		s.innocentsServed++
+		s.unrelatedServed++
 	}
 }
 
-// crash ends an upstream; what ran there is sent again.
-func (s *storm) crash(u int, longest time.Duration) {
+// crashUpstream crashes an upstream. Callers retry the requests that ran there.
+func (s *simulation) crashUpstream(u int, maxDuration time.Duration) {
 	id := s.instance(u)
 	s.upstreams[u].starts++
-	s.upstreams[u].back = s.now.Add(stormBack)
+	s.upstreams[u].restartedAt = s.now.Add(restartDuration)
 	broken := map[*Log][]Fingerprint{}
-	var again []*stormRun
-	kept := s.running[:0]
+	var retries []*simulatedRun
+	remaining := s.running[:0]
 	for _, r := range s.running {
 		if r.upstream != u {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		broken[r.gateway] = append(broken[r.gateway], r.print)
 		r.gateway.Attempted()
 		if r.fatal < 0 {
-			s.met++
+			s.crashedAttempts++
 		}
-		if r.fatal < 0 && r.tries < stormTries {
-			again = append(again, r)
+		if r.fatal < 0 && r.sends < maxAttempts {
+			retries = append(retries, r)
 		}
 	}
-	s.running = kept
+	s.running = remaining
 	for _, g := range s.gateways { // in a fixed order
 		if len(broken[g]) > 0 {
 			g.Note(id, s.now, broken[g]...)
 		}
 	}
-	s.share()
-	for _, r := range again {
-		s.send(r, longest)
+	s.mergeLogs()
+	for _, r := range retries {
+		s.send(r, maxDuration)
 	}
 }
 
-// share merges all logs.
-func (s *storm) share() {
+// mergeLogs merges each log into all others.
+func (s *simulation) mergeLogs() {
 	for _, a := range s.gateways {
 		records, _ := a.Since(0, nil)
 		if len(records) == 0 {
@@ -228,66 +231,67 @@
 	}
 }
 
-// stormInnocence: in a storm in which each upstream ends by itself every 3.3 s, one innocent
-// request in so many may be refused at most, as chanceOfInnocence says; in calmer worlds none.
-const stormInnocence = 10_000
+// minRequestsPerFalseRefusal: in a burst in which each upstream crashes by itself every 3.3 s,
+// at most one unrelated request in this many may be refused, as maxCoincidenceChance says. At
+// lower crash rates none may be refused.
+const minRequestsPerFalseRefusal = 10_000
 
-func TestNoInnocentIsRefused(t *testing.T) {
+func TestUnrelatedRequestsAreNotRefused(t *testing.T) {
 	seeds := uint64(3)
 	if text := os.Getenv("SANDBARROW_STORMS"); text != "" {
 		n, err := strconv.ParseUint(text, 10, 64)
 		assert.NilError(t, err)
 		seeds = n
 	}
-	stormAll, stormRefused := 0, 0
+	burstAll, burstRefused := 0, 0
 	for _, upstreams := range []int{3, 6, 20} {
 		for _, fatal := range []int{0, 1, 2} {
 			for _, rate := range []float64{0, 0.05, 0.3} {
 				name := fmt.Sprintf("%d upstreams, %d fatal, %.2f crashes a second each", upstreams, fatal, rate)
-				refused, beside, served, all, most, mostAfter, attempts, met := 0, 0, 0, 0, 0, 0, 0, 0
+				refused, concurrent, served, all, maxCrashes, maxAfter, attempts, crashedAttempts := 0, 0, 0, 0, 0, 0, 0, 0
 				for seed := range seeds {
-					s := newStorm(seed, 4, upstreams, fatal, rate)
-					s.play(1500, 8*float64(upstreams), 800*time.Millisecond)
-					refused, served, all = refused+s.innocentsRefused, served+s.innocentsServed, all+s.innocents
-					beside += s.beside
-					attempts, met = attempts+s.attempts, met+s.met
+					s := newSimulation(seed, 4, upstreams, fatal, rate)
+					s.run(1500, 8*float64(upstreams), 800*time.Millisecond)
+					refused, served, all = refused+s.unrelatedRefused, served+s.unrelatedServed, all+s.unrelated
+					concurrent += s.concurrent
+					attempts, crashedAttempts = attempts+s.attempts, crashedAttempts+s.crashedAttempts
 					for i := range fatal {
-						most, mostAfter = max(most, s.ended[i]), max(mostAfter, s.sentAfter[i])
+						maxCrashes, maxAfter = max(maxCrashes, s.crashesByFatal[i]), max(maxAfter, s.sentAfter[i])
 					}
 				}
-				t.Logf("%s: %d of %d innocent requests refused, %d of them beside a fatal one, %d served, %.3f of attempts met an end; a fatal one ended %d at most, %d sends after the bound",
-					name, refused, all, beside, served, float64(met)/float64(max(1, attempts)), most, mostAfter)
-				assert.Check(t, beside == 0, name)
+				t.Logf("%s: %d of %d unrelated requests refused, %d of them concurrent with a fatal one, %d served, %.3f of attempts crashed; a fatal request crashedAttempts at most %d upstreams, with %d sends after the bound",
+					name, refused, all, concurrent, served, float64(crashedAttempts)/float64(max(1, attempts)), maxCrashes, maxAfter)
+				assert.Check(t, concurrent == 0, name)
 				if rate > 0.1 {
-					stormAll, stormRefused = stormAll+all, stormRefused+refused
+					burstAll, burstRefused = burstAll+all, burstRefused+refused
 				} else {
 					assert.Check(t, refused == 0, name)
 				}
-				assert.Check(t, mostAfter <= 3, name)
+				assert.Check(t, maxAfter <= 3, name)
 			}
 		}
 	}
-	assert.Check(t, stormRefused*stormInnocence <= stormAll, "%d of %d refused in storms", stormRefused, stormAll)
+	assert.Check(t, burstRefused*minRequestsPerFalseRefusal <= burstAll, "%d of %d refused in bursts of crashes", burstRefused, burstAll)
 }
 
-func TestManyFatalRequestsAreEachHeld(t *testing.T) {
+func TestManyFatalRequestsAreEachRefused(t *testing.T) {
 	for _, fatal := range []int{4, 8} {
 		for seed := range uint64(3) {
-			s := newStorm(seed, 5, 9, fatal, 0)
-			s.play(1500, 60, 800*time.Millisecond)
+			s := newSimulation(seed, 5, 9, fatal, 0)
+			s.run(1500, 60, 800*time.Millisecond)
 			for i, sent := range s.sentAfter {
-				assert.Check(t, sent <= 3, "seed %d: request %d of %d ended %d upstreams, %d sends after the bound", seed, i, fatal, s.ended[i], sent)
+				assert.Check(t, sent <= 3, "seed %d: request %d of %d crashed %d upstreams, with %d sends after the bound", seed, i, fatal, s.crashesByFatal[i], sent)
 			}
 		}
 	}
 }
 
-func TestNoInnocentIsRefusedBesideMany(t *testing.T) {
+func TestUnrelatedRequestsAreNotRefusedAmongManyFatal(t *testing.T) {
 	for _, fatal := range []int{4, 8} {
 		for seed := range uint64(3) {
-			s := newStorm(seed, 5, 9, fatal, 0)
-			s.play(1500, 60, 800*time.Millisecond)
-			assert.Check(t, s.innocentsRefused == 0, "seed %d, %d fatal: %d of %d innocent requests refused, %v ends", seed, fatal, s.innocentsRefused, s.innocents, s.ended)
+			s := newSimulation(seed, 5, 9, fatal, 0)
+			s.run(1500, 60, 800*time.Millisecond)
+			assert.Check(t, s.unrelatedRefused == 0, "seed %d, %d fatal: %d of %d unrelated requests refused, crashes by fatal request: %v", seed, fatal, s.unrelatedRefused, s.unrelated, s.crashesByFatal)
 		}
 	}
 }
--- a/quota/leader/candidate.go
+++ b/quota/leader/candidate.go
@@ -18,52 +18,55 @@
 const (
 	// keyPrefix is the prefix of the shards' keys in the platform's store.
 	keyPrefix = "sandbarrow/quota/"
-	// ttl is the life of a shard's lease. A leader grants for three quarters of it in an
-	// outage of the store: as long as callers with keys are served there at all. A leader
-	// that is lost is missed for as long, but for the same box, which takes over at once;
-	// the other part of each limit goes on meanwhile. With 1 s, 105 of 676 requests were
-	// refused in the first two seconds of an outage.
+	// ttl is the TTL of a shard's lease. In an outage of the store, a leader grants for three
+	// quarters of it: as long as callers with keys are served in an outage at all. A lost
+	// leader is missing for as long, unless a process on the same box replaces it, which takes
+	// over at once. The other share of each limit is granted meanwhile. With 1 s, 105 of 676
+	// requests were refused in the first two seconds of an outage.
 	ttl = 4 * time.Second
-	// renewPause is the pause between two renewals: several may fail within the three quarters of
-	// ttl.
+	// renewPause is the pause between two renewals. Several renewals may fail within the three
+	// quarters of ttl.
 	renewPause = 600 * time.Millisecond
-	// tryPause is the pause between two tries of a candidate: short against ttl.
-	tryPause = 120 * time.Millisecond
-	// callTimeout bounds one step at the store: a slow store (60 times 4 ms) answers within it.
+	// retryPause is the pause between two attempts of a candidate to get the lease. It is short
+	// compared with ttl.
+	retryPause = 120 * time.Millisecond
+	// callTimeout bounds one exchange with the store. A slow store (60 times 4 ms) responds
+	// within it.
 	callTimeout = 400 * time.Millisecond
-	// nominationLife is how long a candidate tries after its last nomination. Gateways
+	// nominationTTL is how long a candidate competes after its last nomination. Gateways
 	// nominate several times a second while there is no leader.
-	nominationLife = 700 * time.Millisecond
-	// confirmPause is the pause between two confirmations: several within the time for
-	// which gateways may trust a table (5 s seen). Each is a call to the store.
+	nominationTTL = 700 * time.Millisecond
+	// confirmPause is the pause between two confirmations. Several of them fit into the time for
+	// which gateways may trust a table (5 s in known setups). Each is a call to the store.
 	confirmPause = 600 * time.Millisecond
 )
 
-// term is one time of leading a shard.
+// term is one period in which this process leads a shard.
 type term struct {
 	granter *quota.Granter
 	holder  *lease.Holder
 	number  quota.Term
 }
 
-// holds reports whether the term's lease is still held.
-func (t *term) holds() bool {
+// isLeased reports whether the term's lease is still held.
+func (t *term) isLeased() bool {
 	g := t.holder.Check()
 	return g.State == lease.Held && g.Token == t.number
 }
 
-// candidate competes for one shard, leads it, and gives up when nobody nominates it.
+// candidate competes for one shard and leads it. It stops when no gateway nominates it any
+// more.
 type candidate struct {
 	holder *lease.Holder
 	leader *Leader
 	shard  quota.Shard
-	// term is the running one, or nil; the loop's own.
+	// term is the current term, or nil. Only the goroutine of run uses it.
 	term *term
-	// confirmedAt is when the table was confirmed last; the loop's own.
+	// confirmedAt is when the table was last confirmed. Only the goroutine of run uses it.
 	confirmedAt time.Time
 
-	mu        sync.Mutex
-	nominated time.Time
+	mu          sync.Mutex
+	nominatedAt time.Time
 }
 
 func newCandidate(l *Leader, s quota.Shard) *candidate {
@@ -73,49 +76,50 @@
 
 func key(s quota.Shard) string { return keyPrefix + strconv.Itoa(int(s)) }
 
-// nominate keeps the candidate trying; lastTerm is the newest term known to the nominating gateway.
+// nominate lets the candidate compete for another nominationTTL. lastTerm is the newest term
+// known to the nominating gateway.
 func (c *candidate) nominate(lastTerm quota.Term) {
 	c.holder.ObserveToken(lastTerm)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nominated = boottime.Now()
+	c.nominatedAt = boottime.Now()
 }
 
-func (c *candidate) wanted() bool {
+func (c *candidate) isNominated() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return boottime.Since(c.nominated) < nominationLife
+	return boottime.Since(c.nominatedAt) < nominationTTL
 }
 
 // run competes for the shard while it is nominated, and leads it while it holds the lease.
 func (c *candidate) run(ctx context.Context) {
 	defer c.holder.Release()
-	defer c.leader.end(c.shard, "released")
+	defer c.leader.endTerm(c.shard, "released")
 	for ctx.Err() == nil {
-		renewed := c.step(ctx)
-		c.follow()
+		renewed := c.renew(ctx)
+		c.updateTerm()
 		switch {
 		case c.term != nil && renewed:
 			c.confirm(ctx)
 			pause.For(ctx, renewPause)
 		case c.term != nil:
-			pause.For(ctx, tryPause)
-		case c.wanted():
-			pause.For(ctx, tryPause)
+			pause.For(ctx, retryPause)
+		case c.isNominated():
+			pause.For(ctx, retryPause)
 		default:
 			return
 		}
 	}
 }
 
-// step renews the lease, or takes it where nobody has it, and reports whether it did.
-func (c *candidate) step(ctx context.Context) bool {
+// renew renews the lease, or acquires it if nobody holds it. It reports whether that succeeded.
+func (c *candidate) renew(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if c.term == nil {
 		item, err := c.leader.config.Store.Get(ctx, key(c.shard))
 		if !errors.Is(err, sandbarrow.ErrStoreNotFound) && (err != nil || !lease.IsOwnedBy(item.Value, string(c.leader.config.Box))) {
-			return false // held, or not known: one call in place of the four of a vain try
+			return false // held or unknown; a failed attempt costs four calls in place of this one
 		}
 	}
 	if err := c.holder.Step(ctx); err != nil {
@@ -125,23 +129,23 @@
 	return true
 }
 
-// follow begins and ends terms as the lease is held. A lease that lapses here for a moment,
-// as its renewal is late, and is then renewed after all, is the same term: nobody else
-// had it.
-func (c *candidate) follow() {
+// updateTerm starts and ends terms with the lease. A late renewal may let the lease lapse for a
+// moment by this process's clock. If the renewal then succeeds, the term continues, because
+// nobody else held the lease.
+func (c *candidate) updateTerm() {
 	held := c.holder.Check()
 	if c.term != nil && (held.Token != c.term.number || !c.holder.Leased()) {
-		c.leader.end(c.shard, "lease lost")
+		c.leader.endTerm(c.shard, "lease lost")
 		c.term = nil
 	}
 	if c.term == nil && held.State == lease.Held {
 		c.term = &term{granter: quota.NewGranter(c.leader.config.Bound, boottime.Now()), holder: c.holder, number: held.Token}
-		c.leader.begin(c.shard, c.term)
+		c.leader.beginTerm(c.shard, c.term)
 	}
 }
 
-// confirm asks the store which table is the newest one, if this shard's leader does that
-// for all.
+// confirm queries the store for the newest table, if this is the shard whose leader does that
+// for all processes.
 func (c *candidate) confirm(ctx context.Context) {
 	if c.shard != quota.ConfirmShard || boottime.Since(c.confirmedAt) < confirmPause {
 		return
--- a/quota/leader/leader.go
+++ b/quota/leader/leader.go
@@ -1,10 +1,10 @@
-// Package leader runs the leaders of quota shards that one process holds: it competes for
-// a shard when asked to, keeps its lease in the platform's store, and grants what
-// workspaces may use while it holds it.
+// Package leader runs the quota shards that one process leads. It competes for a shard when
+// nominated, holds the shard's lease in the platform's store, and grants units to workspaces
+// while it holds the lease.
 //
-// It owns the leases and one quota.Granter a term. It relies on package lease for the
-// exclusive hold, on package estate for the limits, and on gateways for the nominations:
-// a leader that no gateway can reach is one that no gateway asks for. Controllers use it.
+// It owns the leases and one quota.Granter for each term. It relies on package lease for
+// mutual exclusion, on package estate for the limits, and on gateways for the nominations. A
+// process that no gateway can reach is not nominated. Controllers use the package.
 package leader
 
 import (
@@ -25,17 +25,18 @@
 	"sandbarrow.example/sandbarrow/quota"
 )
 
-// nominationsMost is how many nominations wait to be followed. Gateways nominate again.
-const nominationsMost = 4 * int(quota.Shards)
+// maxPendingNominations bounds the nominations in the queue. Further ones are dropped, since
+// gateways repeat them.
+const maxPendingNominations = 4 * int(quota.Shards)
 
-// Config is what a Leader needs.
+// Config holds the parameters and dependencies of a Leader.
 type Config struct {
 	Bound quota.Bound
-	// Box runs one Leader at a time: one that starts takes over at once what its predecessor
-	// there has led.
+	// Box is the box of this process. It runs one Leader at a time. A Leader that starts there
+	// takes over the shards of its predecessor at once.
 	Box    sandbarrow.BoxID
 	Estate *estate.Estate
-	// Keys reads which shards this box has led.
+	// Keys lists the shards' keys, to find the shards that this box has led.
 	Keys   sandbarrow.PrefixStore
 	Logger *slog.Logger
 	Store  sandbarrow.LeaseStore
@@ -55,11 +56,11 @@
 // New returns a Leader that leads nothing; Run starts it.
 func New(c Config) *Leader {
 	return &Leader{
-		changed: make(chan struct{}), config: c, nominations: make(chan enginelink.Lead, nominationsMost), terms: map[quota.Shard]*term{},
+		changed: make(chan struct{}), config: c, nominations: make(chan enginelink.Lead, maxPendingNominations), terms: map[quota.Shard]*term{},
 	}
 }
 
-// Nominate asks this process to lead a shard.
+// Nominate requests that this process lead a shard.
 func (l *Leader) Nominate(n enginelink.Lead) {
 	if n.Shard < 0 || n.Shard >= quota.Shards {
 		return
@@ -70,10 +71,10 @@
 	}
 }
 
-// Run follows nominations until ctx ends, then gives all leases back.
+// Run handles nominations until ctx ends, then releases all leases.
 func (l *Leader) Run(ctx context.Context) error {
 	candidates := map[quota.Shard]*candidate{}
-	ended := make(chan quota.Shard)
+	stopped := make(chan quota.Shard)
 	var group errgroup.Group
 	group.Go(func() error { return l.reclaim(ctx) })
 	for {
@@ -90,12 +91,12 @@
 			group.Go(func() error {
 				c.run(ctx)
 				select {
-				case ended <- s:
+				case stopped <- s:
 				case <-ctx.Done():
 				}
 				return nil
 			})
-		case s := <-ended:
+		case s := <-stopped:
 			delete(candidates, s)
 		case <-ctx.Done():
 			return group.Wait()
@@ -103,10 +104,10 @@
 	}
 }
 
-// reclaim nominates this process for the shards that its predecessor on this box has led,
-// once it knows that there are limits at all. Gateways that start at the same time do not
-// know the last leaders: without it two of eight shards had no leader for 1.8 s longer
-// after a restart of all processes.
+// reclaim nominates this process for the shards that its predecessor on this box has led. It
+// waits until the configuration has callers' keys, because there are no limits without them.
+// Gateways that start at the same time do not know the last leaders. Without reclaim, two of
+// eight shards had no leader for 1.8 s longer after a restart of all processes.
 func (l *Leader) reclaim(ctx context.Context) error {
 	for {
 		view := l.config.Estate.View()
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// Leads are the shards that are led now, ordered, and a channel that closes when that
-// changes.
+// Leads returns the shards that this process leads now, in order, and a channel that is closed
+// when they change.
 func (l *Leader) Leads() (enginelink.Leads, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,10 +153,10 @@
 	return leads, l.changed
 }
 
-// Take grants what a request counts, or refuses it.
+// Take grants or refuses the units of a request.
 func (l *Leader) Take(q *enginelink.Take) enginelink.Taken {
-	// Before the lease is looked at: a process that is frozen in between grants as of a
-	// moment at which it held the lease.
+	// The time is read before the lease is checked. A process that freezes in between then
+	// grants as of a time at which it held the lease.
 	now := boottime.Now()
 	view := l.config.Estate.View()
 	if view == nil {
@@ -169,24 +170,24 @@
 	defer l.mu.Unlock()
 	t := l.terms[q.Shard]
 	shards := quota.ShardsOf(q.Workspace)
-	if t == nil || !t.holds() || !slices.Contains(shards[:], q.Shard) {
+	if t == nil || !t.isLeased() || !slices.Contains(shards[:], q.Shard) {
 		return enginelink.Taken{NotLeading: true}
 	}
-	g := t.granter.Ask(now, w.ID, &w.Limit, q.Units)
-	return enginelink.Taken{Granted: g.Granted, LifeMS: g.Life.Milliseconds(), RetryMS: g.RetryAfter.Milliseconds(), Young: g.Young}
+	g := t.granter.Acquire(now, w.ID, &w.Limit, q.Units)
+	return enginelink.Taken{Granted: g.Granted, LifeMS: g.TTL.Milliseconds(), RetryMS: g.RetryAfter.Milliseconds(), Young: g.Young}
 }
 
-// begin starts a term.
-func (l *Leader) begin(s quota.Shard, t *term) {
+// beginTerm starts a term.
+func (l *Leader) beginTerm(s quota.Shard, t *term) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.terms[s] = t
-	l.announce()
+	l.notifyChanged()
 	l.config.Logger.Info("quota shard led", "shard", int(s), "term", uint64(t.number))
 }
 
-// end ends the term of a shard, if there is one.
-func (l *Leader) end(s quota.Shard, why string) {
+// endTerm ends the term of a shard, if there is one.
+func (l *Leader) endTerm(s quota.Shard, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.terms[s]
@@ -194,12 +195,12 @@
 		return
 	}
 	delete(l.terms, s)
-	l.announce()
+	l.notifyChanged()
 	l.config.Logger.Warn("quota shard no longer led", "shard", int(s), "term", uint64(t.number), "why", why)
 }
 
-// announce wakes those who announce what is led. The caller holds mu.
-func (l *Leader) announce() {
+// notifyChanged wakes the goroutines that publish the leads. The caller holds mu.
+func (l *Leader) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/quota/leader/leader_test.go
+++ b/quota/leader/leader_test.go
@@ -22,13 +22,13 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// documents reads tables whose text is the rate of the workspace "red".
-type documents struct{}
+// testDecoder decodes tables whose text is the rate of the workspace "red".
+type testDecoder struct{}
 
-func (documents) IsTable(key string) bool { return key == "op/table" }
-func (documents) Prefix() string          { return "op/" }
-func (documents) TableKey() string        { return "op/table" }
-func (documents) Table(text []byte) (*route.Table, error) {
+func (testDecoder) IsTable(key string) bool { return key == "op/table" }
+func (testDecoder) Prefix() string          { return "op/" }
+func (testDecoder) TableKey() string        { return "op/table" }
+func (testDecoder) Table(text []byte) (*route.Table, error) {
 	var rate float64
 	if err := json.Unmarshal(text, &rate); err != nil {
 		return nil, route.ErrInvalid
@@ -41,11 +41,11 @@
 	return table, err
 }
 
-func (documents) Version(sandbarrow.KeyItem) (sandbarrow.AdapterKey, sandbarrow.AdapterVersion, error) {
+func (testDecoder) Version(sandbarrow.KeyItem) (sandbarrow.AdapterKey, sandbarrow.AdapterVersion, error) {
 	return sandbarrow.AdapterKey{}, 0, estate.ErrOtherKey
 }
 
-// start runs a leader on a box; stop ends it as a planned stop does, and waits.
+// start runs a leader on a box. stop stops it as a planned stop does, and waits for its end.
 func start(t *testing.T, s *store.Memory, box sandbarrow.BoxID) (l *Leader, stop func()) {
 	t.Helper()
 	return startWith(t, s, s, box)
@@ -55,7 +55,7 @@
 func startWith(t *testing.T, keys sandbarrow.PrefixStore, leases sandbarrow.LeaseStore, box sandbarrow.BoxID) (l *Leader, stop func()) {
 	t.Helper()
 	logger := slog.New(slog.DiscardHandler)
-	e := estate.New(documents{}, logger)
+	e := estate.New(testDecoder{}, logger)
 	e.Update([]sandbarrow.KeyItem{{Key: "op/table", Revision: 1, Value: []byte("1000")}}, 1)
 	l = New(Config{Bound: quota.Bound{Overage: 0.1, Window: time.Second}, Box: box, Estate: e, Keys: keys, Logger: logger, Store: leases})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -85,8 +85,8 @@
 	})
 }
 
-// Of two that are nominated one leads; when it stops, the other one does, with a higher term.
-func TestOneLeads(t *testing.T) {
+// Of two nominated processes only one leads. When it stops, the other one leads with a higher term.
+func TestOnlyOneCandidateLeads(t *testing.T) {
 	s := store.NewMemory()
 	shard := quota.ShardsOf("red")[0]
 	first, stopFirst := start(t, s, "box-1")
@@ -104,22 +104,22 @@
 	assert.Assert(t, after.Terms[0].Term > before.Terms[0].Term)
 }
 
-// One that nobody nominates any more gives up, and one that is not nominated never tries.
-func TestUnwantedCandidateGivesUp(t *testing.T) {
+// A candidate whose nominations have stopped no longer acquires a lease that becomes free.
+func TestCandidateStopsWithoutNominations(t *testing.T) {
 	s := store.NewMemory()
 	holder, stopHolder := start(t, s, "box-1")
 	l, stop := start(t, s, "box-2")
 	defer stop()
 	holder.nominateUntil(t, 3, func() bool { return holder.leads(3) })
 	l.Nominate(enginelink.Lead{Shard: 3})
-	time.Sleep(nominationLife + 3*tryPause)
+	time.Sleep(nominationTTL + 3*retryPause)
 	stopHolder()
-	time.Sleep(3 * tryPause)
+	time.Sleep(3 * retryPause)
 	assert.Assert(t, !l.leads(3))
 }
 
-// A leader grants for the shards that it leads, to the workspaces that it knows.
-func TestTake(t *testing.T) {
+// A leader grants only for the shards that it leads, and only to configured workspaces.
+func TestLeaderGrantsOnlyForOwnShards(t *testing.T) {
 	s := store.NewMemory()
 	shards := quota.ShardsOf("red")
 	l, stop := start(t, s, "box-1")
@@ -135,14 +135,14 @@
 	refused := l.Take(&enginelink.Take{Shard: shards[0], Units: 1_000_000, Workspace: "red"})
 	assert.Assert(t, !refused.Granted && refused.RetryMS > 0 && refused.Young)
 	stop()
-	assert.Assert(t, l.Take(&enginelink.Take{Shard: shards[0], Units: 1, Workspace: "red"}).NotLeading, "it has given the lease back")
+	assert.Assert(t, l.Take(&enginelink.Take{Shard: shards[0], Units: 1, Workspace: "red"}).NotLeading, "the stopped leader has released its lease")
 }
 
-func TestRestartedLeaderLeadsAtOnce(t *testing.T) {
+func TestRestartedLeaderTakesOverOwnLease(t *testing.T) {
 	s := store.NewMemory()
 	killed, stop := start(t, s, "box-1")
 	killed.nominateUntil(t, 5, func() bool { return killed.leads(5) })
-	// A lease that nobody renews and nobody gives back, as of a process that was killed.
+	// A lease that is neither renewed nor released, as that of a killed process.
 	item, err := s.Get(t.Context(), key(5))
 	assert.NilError(t, err)
 	stop()
@@ -153,16 +153,16 @@
 	assert.NilError(t, err)
 	other, stopOther := start(t, s, "box-2")
 	defer stopOther()
-	again, stopAgain := start(t, s, "box-1")
-	defer stopAgain()
-	await.Until(t, 8*time.Second, "the shard is led again", func() bool { return again.leads(5) })
+	restarted, stopRestarted := start(t, s, "box-1")
+	defer stopRestarted()
+	await.Until(t, 8*time.Second, "the shard is led again", func() bool { return restarted.leads(5) })
 	assert.Assert(t, !other.leads(5))
-	leads, _ := again.Leads()
+	leads, _ := restarted.Leads()
 	assert.Assert(t, uint64(leads.Terms[0].Term) > uint64(item.Revision))
 }
 
-// The leader of the confirming shard keeps the table confirmed, and others do not ask.
-func TestLeaderConfirms(t *testing.T) {
+// Only the leader of the confirming shard confirms the table.
+func TestOnlyConfirmShardLeaderConfirmsTable(t *testing.T) {
 	s := store.NewMemory()
 	_, err := s.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{"op/table": []byte("50")}})
 	assert.NilError(t, err)
@@ -177,7 +177,7 @@
 	})
 }
 
-func TestLeaderWaitsForLeaderLostByStore(t *testing.T) {
+func TestRestoredStoreDoesNotAllowTwoLeaders(t *testing.T) {
 	memory := store.NewMemory()
 	empty := memory.Copy()
 	var disconnected atomic.Bool
--- a/quota/leader/suspension_test.go
+++ b/quota/leader/suspension_test.go
@@ -13,16 +13,16 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-func TestLeaderGrantsNothingAfterASuspension(t *testing.T) {
+func TestLeaderGrantsNothingAfterSuspension(t *testing.T) {
 	s := store.NewMemory(store.WithMemoryClock(boottime.Now))
 	l, stop := start(t, s, "a")
 	defer stop()
 	shard := quota.ShardsOf("red")[0]
 	l.Nominate(enginelink.Lead{Shard: shard})
-	take := func() enginelink.Taken { return l.Take(&enginelink.Take{Shard: shard, Units: 1, Workspace: "red"}) }
-	await.Until(t, 5*time.Second, "a grant", func() bool { return take().Granted })
+	acquire := func() enginelink.Taken { return l.Take(&enginelink.Take{Shard: shard, Units: 1, Workspace: "red"}) }
+	await.Until(t, 5*time.Second, "a grant", func() bool { return acquire().Granted })
 	boottime.Suspend(ttl)
-	taken := take()
-	assert.Check(t, !taken.Granted)
-	assert.Check(t, taken.NotLeading)
+	reply := acquire()
+	assert.Check(t, !reply.Granted)
+	assert.Check(t, reply.NotLeading)
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -18,22 +18,22 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// This file plays leaders, gateways, their messages and the store in a small world, and
-// checks the operators' sum in every window of what was used, whatever is delayed, lost,
-// frozen, killed or taken over. Each rule that the sum rests on is broken in turn
-// (mutation), and the check must find it.
+// This file simulates leaders, gateways, their messages and the store. It checks that the use in
+// every window stays within the operators' bound, whatever is delayed, lost, frozen, killed or
+// taken over. Each rule on which the bound depends is broken in turn (mutation), and the check
+// must detect it.
 
-// mutation is a rule that the world leaves out.
+// mutation is a rule that the simulation breaks.
 type mutation string
 
 const (
 	noMutation mutation = ""
-	// lifeFromAnswer counts a grant's life from when the answer came.
-	lifeFromAnswer mutation = "life counted from the answer"
-	// beginFull lets a leader that takes over begin with all that may be used at once.
-	beginFull mutation = "a term begins full"
-	// noLease lets a leader grant without looking at its lease.
-	noLease mutation = "a lapsed lease is not noticed"
+	// ttlFromReply counts a grant's TTL from the arrival of the reply.
+	ttlFromReply mutation = "TTL counted from the reply"
+	// startFull lets a leader that takes over start with a full token bucket.
+	startFull mutation = "a term starts with full token buckets"
+	// noLeaseCheck lets a leader grant without checking its lease.
+	noLeaseCheck mutation = "a lapsed lease is not detected"
 )
 
 const (
@@ -47,211 +47,210 @@
 	modelLow   = access.Limit{Burst: 8, PerSecond: 8, Unit: access.UnitRequests}
 )
 
-// modelLeader is a process that may lead. A killed one starts anew.
+// modelLeader is a process that may lead. A killed one is restarted.
 type modelLeader struct {
 	granter *Granter
 	holder  *lease.Holder
 	term    Term
 }
 
-// flight is a grant on its way to its gateway.
-type flight struct {
-	asked, answered time.Time
-	grant           Grant
+// pendingGrant is a grant that has not reached its gateway yet.
+type pendingGrant struct {
+	requestedAt, repliedAt time.Time
+	grant                  Grant
 }
 
-type use struct{ at time.Time }
+type unitUse struct{ at time.Time }
 
-// world is one run.
-type world struct {
+// simulation is the state of one run.
+type simulation struct {
 	fault   storetest.Fault
-	flights []flight
+	pending []pendingGrant
 	leaders [modelLeaders]*modelLeader
 	limit   access.Limit
-	// lowered is when the limit was lowered; zero before.
-	lowered time.Time
-	now     time.Time
-	rule    mutation
-	store   *storetest.Store
-	used    []use
+	// loweredAt is when the limit was lowered, or zero if it was not.
+	loweredAt  time.Time
+	now        time.Time
+	brokenRule mutation
+	store      *storetest.Store
+	used       []unitUse
 }
 
-func newWorld(rule mutation) *world {
-	w := &world{limit: modelHigh, now: time.Unix(1000, 0), rule: rule}
-	w.store = &storetest.Store{
-		Below: store.NewMemory(store.WithMemoryClock(w.clock)),
-		Next:  func() storetest.Fault { return w.fault },
+func newSimulation(brokenRule mutation) *simulation {
+	s := &simulation{limit: modelHigh, now: time.Unix(1000, 0), brokenRule: brokenRule}
+	s.store = &storetest.Store{
+		Below: store.NewMemory(store.WithMemoryClock(s.clockNow)),
+		Next:  func() storetest.Fault { return s.fault },
 	}
-	for i := range w.leaders {
-		w.start(i)
+	for i := range s.leaders {
+		s.startLeader(i)
 	}
-	return w
+	return s
 }
 
-func (w *world) clock() time.Time { return w.now }
+func (s *simulation) clockNow() time.Time { return s.now }
 
-func (w *world) start(i int) {
+func (s *simulation) startLeader(i int) {
 	quiet := slog.New(slog.DiscardHandler)
-	w.leaders[i] = &modelLeader{holder: lease.NewHolder(w.store, "shard", modelTTL, quiet, lease.WithClock(w.clock))}
+	s.leaders[i] = &modelLeader{holder: lease.NewHolder(s.store, "shard", modelTTL, quiet, lease.WithClock(s.clockNow))}
 }
 
-// renew makes one step of a leader at the store, and begins a term where it holds the
-// lease anew.
-func (w *world) renew(i int, f storetest.Fault) {
-	l := w.leaders[i]
-	w.fault = f
-	_ = l.holder.Step(context.Background()) // what it knows is what Check says
-	w.fault = storetest.None
+// renew lets a leader acquire or renew its lease, and starts a term if the lease is a new one.
+func (s *simulation) renew(i int, f storetest.Fault) {
+	l := s.leaders[i]
+	s.fault = f
+	_ = l.holder.Step(context.Background()) // Check returns the resulting state
+	s.fault = storetest.None
 	held := l.holder.Check()
 	if held.State != lease.Held || l.granter != nil && l.term == held.Token {
 		return
 	}
-	l.granter, l.term = NewGranter(modelBound, w.now), held.Token
-	if w.rule == beginFull {
-		l.granter.since = w.now.Add(-time.Hour)
+	l.granter, l.term = NewGranter(modelBound, s.now), held.Token
+	if s.brokenRule == startFull {
+		l.granter.startedAt = s.now.Add(-time.Hour)
 	}
 }
 
-// holds reports whether a leader may grant.
-func (w *world) holds(l *modelLeader) bool {
+// mayGrant reports whether a leader may grant.
+func (s *simulation) mayGrant(l *modelLeader) bool {
 	if l.granter == nil {
 		return false
 	}
 	held := l.holder.Check()
-	return w.rule == noLease || held.State == lease.Held && held.Token == l.term
+	return s.brokenRule == noLeaseCheck || held.State == lease.Held && held.Token == l.term
 }
 
-// ask makes gateways ask a leader for requests of one unit until it refuses one.
-func (w *world) ask(i int) {
-	l := w.leaders[i]
-	for w.holds(l) {
-		g := l.granter.Ask(w.now, "red", &w.limit, 1)
+// acquireAll lets gateways request single units from a leader until it refuses one.
+func (s *simulation) acquireAll(i int) {
+	l := s.leaders[i]
+	for s.mayGrant(l) {
+		g := l.granter.Acquire(s.now, "red", &s.limit, 1)
 		if !g.Granted {
 			return
 		}
-		w.flights = append(w.flights, flight{asked: w.now, answered: w.now, grant: g})
+		s.pending = append(s.pending, pendingGrant{requestedAt: s.now, repliedAt: s.now, grant: g})
 	}
 }
 
-// deliver brings the grants on their way to their gateways, which use them.
-func (w *world) deliver() {
-	for _, f := range w.flights {
-		from := f.asked
-		if w.rule == lifeFromAnswer {
-			from = w.now
+// deliver delivers the pending grants to their gateways, which use them.
+func (s *simulation) deliver() {
+	for _, f := range s.pending {
+		from := f.requestedAt
+		if s.brokenRule == ttlFromReply {
+			from = s.now
 		}
-		if w.now.Sub(from) < f.grant.Life {
-			w.used = append(w.used, use{at: w.now})
+		if s.now.Sub(from) < f.grant.TTL {
+			s.used = append(s.used, unitUse{at: s.now})
 		}
 	}
-	w.flights = nil
+	s.pending = nil
 }
 
-func (w *world) lower() {
-	if w.lowered.IsZero() {
-		w.limit, w.lowered = modelLow, w.now
+func (s *simulation) lowerLimit() {
+	if s.loweredAt.IsZero() {
+		s.limit, s.loweredAt = modelLow, s.now
 	}
 }
 
-// actions of the world; the first ones cost least to reach what may go wrong.
-var actions = []func(w *world){
-	func(w *world) { w.now = w.now.Add(300 * time.Millisecond) },
-	func(w *world) { w.now = w.now.Add(1600 * time.Millisecond) },
-	func(w *world) { w.ask(0); w.deliver() },
-	func(w *world) { w.ask(1); w.deliver() },
-	func(w *world) { w.renew(0, storetest.None) },
-	func(w *world) { w.renew(1, storetest.None) },
-	func(w *world) { w.ask(0) },
-	func(w *world) { w.deliver() },
-	func(w *world) { w.renew(0, storetest.Lost) },
-	func(w *world) { w.start(0) },
-	func(w *world) { w.lower() },
-	func(w *world) { w.flights = nil },
-	func(w *world) { w.renew(1, storetest.Swallowed) },
-	func(w *world) { w.ask(1) },
+// actions are the steps of a run. The first ones need the fewest steps to reach a violation.
+var actions = []func(s *simulation){
+	func(s *simulation) { s.now = s.now.Add(300 * time.Millisecond) },
+	func(s *simulation) { s.now = s.now.Add(1600 * time.Millisecond) },
+	func(s *simulation) { s.acquireAll(0); s.deliver() },
+	func(s *simulation) { s.acquireAll(1); s.deliver() },
+	func(s *simulation) { s.renew(0, storetest.None) },
+	func(s *simulation) { s.renew(1, storetest.None) },
+	func(s *simulation) { s.acquireAll(0) },
+	func(s *simulation) { s.deliver() },
+	func(s *simulation) { s.renew(0, storetest.Lost) },
+	func(s *simulation) { s.startLeader(0) },
+	func(s *simulation) { s.lowerLimit() },
+	func(s *simulation) { s.pending = nil },
+	func(s *simulation) { s.renew(1, storetest.Swallowed) },
+	func(s *simulation) { s.acquireAll(1) },
 }
 
-// violation returns what a window that ends with the last use has too much, or "".
-func (w *world) violation() string {
-	for i := range w.used {
-		end := w.used[i].at
+// violation describes a window, ending at some use, with more use than allowed, or returns "".
+func (s *simulation) violation() string {
+	for i := range s.used {
+		end := s.used[i].at
 		from, n := end.Add(-modelBound.Window), 0
-		for _, u := range w.used {
+		for _, u := range s.used {
 			if u.at.After(from) && !u.at.After(end) {
 				n++
 			}
 		}
 		limit := &modelHigh
-		if !w.lowered.IsZero() && !from.Before(w.lowered.Add(usualLife)) {
+		if !s.loweredAt.IsZero() && !from.Before(s.loweredAt.Add(usualTTL)) {
 			limit = &modelLow
 		}
-		if most := modelBound.allowed(limit) / Parts; float64(n) > most {
-			return fmt.Sprintf("%d used in the window up to %v, %v allowed", n, end.Sub(time.Unix(1000, 0)), most)
+		if maxUsed := modelBound.allowed(limit) / Parts; float64(n) > maxUsed {
+			return fmt.Sprintf("%d used in the window up to %v, %v allowed", n, end.Sub(time.Unix(1000, 0)), maxUsed)
 		}
 	}
 	return ""
 }
 
-// run plays a random world: leaders renew and are asked all the time, but where they are
-// frozen, their calls are lost or they are killed. Each seed has rates of its own, so that
-// some worlds hold answers back for long and others never do.
-func run(rule mutation, seed uint64, steps int) *world {
+// runRandom simulates a random run. Leaders renew their leases and get requests all the time,
+// unless they are frozen, their calls are lost or they are killed. Each seed has its own rates.
+// Some runs delay replies for long and others never do.
+func runRandom(brokenRule mutation, seed uint64, steps int) *simulation {
 	r := rand.New(rand.NewPCG(seed, 0))
 	rate := func() float64 { return []float64{0, 0.02, 0.2, 0.7}[r.IntN(4)] }
-	asks, delivers, faults, freezes, kills := 0.1+rate(), 0.05+rate(), rate(), rate()/10, rate()/3
-	var frozen [modelLeaders]time.Time
-	w := newWorld(rule)
+	requests, deliveries, faults, freezes, kills := 0.1+rate(), 0.05+rate(), rate(), rate()/10, rate()/3
+	var frozenUntil [modelLeaders]time.Time
+	s := newSimulation(brokenRule)
 	for step := range steps {
-		w.now = w.now.Add(time.Duration(20+r.IntN(180)) * time.Millisecond)
-		for i := range w.leaders {
+		s.now = s.now.Add(time.Duration(20+r.IntN(180)) * time.Millisecond)
+		for i := range s.leaders {
 			switch {
 			case r.Float64() < kills:
 				if r.IntN(2) == 0 {
-					w.leaders[i].holder.Release() // a planned stop
+					s.leaders[i].holder.Release() // a planned stop
 				}
-				w.start(i)
+				s.startLeader(i)
 			case r.Float64() < freezes:
-				frozen[i] = w.now.Add(time.Duration(r.IntN(4000)) * time.Millisecond)
+				frozenUntil[i] = s.now.Add(time.Duration(r.IntN(4000)) * time.Millisecond)
 			}
-			if w.now.Before(frozen[i]) {
+			if s.now.Before(frozenUntil[i]) {
 				continue
 			}
-			if r.Float64() < asks {
-				w.ask(i)
+			if r.Float64() < requests {
+				s.acquireAll(i)
 			}
 			fault := storetest.None
 			if r.Float64() < faults {
 				fault = storetest.Fault(r.IntN(4))
 			}
-			w.renew(i, fault)
-			if r.Float64() < asks {
-				w.ask(i)
+			s.renew(i, fault)
+			if r.Float64() < requests {
+				s.acquireAll(i)
 			}
 		}
-		if r.Float64() < delivers {
-			w.deliver()
+		if r.Float64() < deliveries {
+			s.deliver()
 		}
 		if step == steps/2 && seed%2 == 0 {
-			w.lower()
+			s.lowerLimit()
 		}
 	}
-	return w
+	return s
 }
 
-// In random long runs no window ever has more than the operators allow.
+// In random long runs, no window has more use than the operators allow.
 func TestWindowsKeepTheBound(t *testing.T) {
 	used := 0
 	for seed := range uint64(2000) {
-		w := run(noMutation, seed, 300)
-		if v := w.violation(); v != "" {
+		s := runRandom(noMutation, seed, 300)
+		if v := s.violation(); v != "" {
 			t.Fatalf("seed %d: %s", seed, v)
 		}
-		used += len(w.used)
+		used += len(s.used)
 	}
-	assert.Assert(t, used > 100_000, "%d: what is never used shows nothing", used)
+	assert.Assert(t, used > 100_000, "only %d units were used, too few to test the bound", used)
 }
 
-// All orders of a few actions: SANDBARROW_MODEL_DEPTH says how many, 5 by default.
+// Runs all sequences of a few actions: SANDBARROW_MODEL_DEPTH sets their length, 5 by default.
 func TestAllShortRunsKeepTheBound(t *testing.T) {
 	depth := 5
 	if text := os.Getenv("SANDBARROW_MODEL_DEPTH"); text != "" {
@@ -264,39 +263,39 @@
 	}
 }
 
-// explore plays all runs that begin with some actions and have so many more, and returns
-// the first that goes wrong.
-func explore(rule mutation, begun []int, more int) string {
-	w := newWorld(rule)
-	w.renew(0, storetest.None)
-	w.now = w.now.Add(time.Second)
-	for _, a := range begun {
-		actions[a](w)
+// explore runs all sequences that start with the actions in prefix and have more actions after
+// them. It returns the first violation.
+func explore(brokenRule mutation, prefix []int, more int) string {
+	s := newSimulation(brokenRule)
+	s.renew(0, storetest.None)
+	s.now = s.now.Add(time.Second)
+	for _, a := range prefix {
+		actions[a](s)
 	}
-	if v := w.violation(); v != "" {
-		return fmt.Sprintf("%v: %s", begun, v)
+	if v := s.violation(); v != "" {
+		return fmt.Sprintf("%v: %s", prefix, v)
 	}
 	if more == 0 {
 		return ""
 	}
 	for a := range actions {
-		if v := explore(rule, append(begun[:len(begun):len(begun)], a), more-1); v != "" {
+		if v := explore(brokenRule, append(prefix[:len(prefix):len(prefix)], a), more-1); v != "" {
 			return v
 		}
 	}
 	return ""
 }
 
-// Each rule that is left out is found.
+// The check detects each broken rule.
 func TestEachRuleIsNeeded(t *testing.T) {
-	for _, rule := range []mutation{lifeFromAnswer, beginFull, noLease} {
-		found := 0
+	for _, brokenRule := range []mutation{ttlFromReply, startFull, noLeaseCheck} {
+		detected := 0
 		for seed := range uint64(1000) {
-			if run(rule, seed, 300).violation() != "" {
-				found++
+			if runRandom(brokenRule, seed, 300).violation() != "" {
+				detected++
 			}
 		}
-		t.Logf("%s: found in %d of 1,000 runs", rule, found)
-		assert.Assert(t, found > 0, "%s: not found", rule)
+		t.Logf("%s: detected in %d of 1,000 runs", brokenRule, detected)
+		assert.Assert(t, detected > 0, "%s: not detected", brokenRule)
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,22 +1,22 @@
-// Package quota holds what workspaces use to what the operators allow them, over all
-// gateways together.
+// Package quota enforces the operators' limits on what workspaces use, over all gateways
+// together.
 //
-// A workspace's limit is split into Parts, each of which belongs to a shard. Each shard has
-// one leader, which holds a lease on the shard's key in the platform's store. Gateways ask
-// a leader for what a request counts, and its Granter grants it or not. A grant may be used for a short time
-// only, counted from the moment at which it was asked for; so a grant that was held up,
-// or that a frozen process still has, is worth nothing when it arrives.
+// A workspace's limit is split into LimitShares equal shares, each of which belongs to a
+// shard. Each shard has one leader, which holds a lease on the shard's key in the platform's
+// store. Gateways request the cost of a request from a leader, and its Granter grants or
+// refuses it. A grant has a short TTL, which starts when the gateway sends its request. A
+// grant that is delayed, or that a frozen process keeps, expires before it can be used late.
 //
-// The package has the decisions alone: no clock, no connection, no goroutine. It owns the
-// level of each workspace of one shard. It relies on its caller for the time, for holding
-// the lease, and for the operators' limits (package access).
+// The package holds the decisions alone: no clock, no connection, no goroutine. It owns the
+// token bucket of each workspace of one shard. It relies on its caller for the time, for
+// holding the lease, and for the operators' limits (package access).
 //
-// What must hold, and why: in any window of Bound.Window, the requests of a workspace
-// that were granted by a part and are used come to no more than its share of
-// Bound.allowed. Used within a window
-// is what was granted within it, or at most Plan.Life before it. One Granter grants no
-// more than Plan.Rate x time + Plan.Depth in any span, and one that takes over begins with
-// nothing, after the last one's lease has ended; so neither do several in succession.
+// Invariant: in any window of Bound.Window, the units of a workspace that were granted from
+// one share of its limit and are used come to no more than that share of Bound.allowed. What is
+// used within a window was granted within it, or at most Plan.TTL before it. One Granter
+// grants no more than Plan.Rate x time + Plan.Depth in any time span. A Granter that takes
+// over starts with nothing, after the previous lease has ended. The bound therefore holds for
+// several Granters in succession too.
 package quota
 
 import (
@@ -28,24 +28,24 @@
 	"sandbarrow.example/sandbarrow/access"
 )
 
-// Shard names a part of all workspaces, from 0.
+// Shard numbers the shards of the workspaces, from 0.
 type Shard int
 
-// Shards is the number of shards. Each costs its leader a renewal of its lease every renewal pause,
-// so more of them cost more calls to the store; the fewer there are, the more workspaces wait when
-// a leader is lost.
+// Shards is the number of shards. The leader of each shard regularly renews its lease. More
+// shards therefore cost more calls to the store. With fewer shards, more workspaces wait when a
+// leader is lost.
 const Shards Shard = 8
 
-// ConfirmShard is the shard whose leader also keeps the operators' table confirmed as the
-// newest, so that one process of all asks the store for that.
+// ConfirmShard is the shard whose leader also confirms regularly that the operators' table is
+// the newest. A single process queries the store for that.
 const ConfirmShard Shard = 0
 
-// Parts is into how many parts a limit is split, each with a leader of its own: where one
-// is lost, the others go on. With one part a workspace has nothing for up to 2 s until
-// another process leads, which begins with nothing to grant.
+// LimitShares is the number of shares into which a limit is split. Each share has its own
+// leader. When one leader is lost, the others continue. With a single share, a workspace gets
+// no grants for up to 2 s, until another process leads, which starts with nothing to grant.
 const Parts = 2
 
-// ShardsOf returns the shards of a workspace's parts, which differ.
+// ShardsOf returns the shards of the shares of a workspace's limit. They are all different.
 func ShardsOf(id sandbarrow.WorkspaceID) [Parts]Shard {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
@@ -60,8 +60,8 @@
 // Term numbers the leaders of a shard; a later one has a higher number.
 type Term = sandbarrow.FencingToken
 
-// Bound is what the operators promise of every limit: in any Window, a workspace uses no
-// more than its limit allows, with a share Overage and Slack units on top.
+// Bound is the operators' tolerance for every limit. In any Window, a workspace uses at most
+// what its limit allows, times 1 + Overage, plus Slack units.
 type Bound struct {
 	Overage float64
 	Slack   float64
@@ -69,27 +69,27 @@
 }
 
 const (
-	// keptShare is the share of what is allowed that is granted; the rest is for clocks that run at
-	// slightly other speeds.
-	keptShare = 0.97
-	// usualLife is how long a grant may be used. A grant is asked for when a request
-	// needs it, so this is a round trip to the leader with a wide margin.
-	usualLife = 500 * time.Millisecond
-	// leastLife is the shortest life of a grant that is of use: a round trip on a slow link.
-	leastLife = 100 * time.Millisecond
-	// depthShare is the least share of what is allowed in a window that a workspace may
-	// use at once.
-	depthShare = 0.1
-	// leastDepth is the least depth, in units: a limit of a few requests in a window would
-	// grant none with less.
-	leastDepth = 2
-	// youngFor is how long a term is young: it begins with nothing, while requests have waited
-	// for a leader, so that what it refuses at first is mostly below the limit. After a
-	// restart of all processes, 597 requests were refused within 2 s for that.
-	youngFor = 1500 * time.Millisecond
-	// overdraftShare is the part of the depth by which a request may exceed what is there.
-	// Without it a workspace at its limit would have its small requests served and its
-	// large ones never.
+	// grantedShare is the share of the allowed units that is granted. The rest allows for clocks
+	// that run at slightly different speeds.
+	grantedShare = 0.97
+	// usualTTL is how long a grant may be used. Gateways request a grant when a request needs
+	// it. A round trip to the leader fits into this with a wide margin.
+	usualTTL = 500 * time.Millisecond
+	// minTTL is the shortest useful TTL of a grant: a round trip on a slow link.
+	minTTL = 100 * time.Millisecond
+	// minDepthShare is the smallest depth, as a share of the units allowed in a window.
+	minDepthShare = 0.1
+	// minDepth is the smallest depth, in units. With less, a limit of a few requests in a window
+	// would grant none.
+	minDepth = 2
+	// youngTermDuration is how long a term counts as young. A term starts with nothing to
+	// grant, while requests have been waiting for a leader. Most requests that it refuses at
+	// first are therefore below the limit. After a restart of all processes, 597 requests were
+	// refused within 2 s for this reason.
+	youngTermDuration = 1500 * time.Millisecond
+	// overdraftShare is the share of the depth by which a request may exceed the available
+	// units. Without an overdraft, a workspace at its limit would have its small requests
+	// served and never its large ones.
 	overdraftShare = 0.6
 )
 
@@ -98,106 +98,107 @@
 	return (l.PerSecond*b.Window.Seconds()+l.Burst)*(1+b.Overage) + b.Slack
 }
 
-// Plan is how a part of a limit is granted so that its bound holds.
+// Plan holds the token bucket parameters that keep one share of a limit within its bound.
 type Plan struct {
-	// Depth is what may be granted beyond Rate, in units.
+	// Depth is how many units may be granted beyond Rate.
 	Depth float64
-	// Life is how long a grant may be used, counted from when it was asked for.
-	Life time.Duration
-	// Rate is in units a second.
+	// TTL is how long a grant may be used, from when the gateway requested it.
+	TTL time.Duration
+	// Rate is in units per second.
 	Rate float64
 }
 
-// PlanFor decides how each part of a limit is granted. Rate is the operators' own, split, where the bound
-// leaves room for the life of grants; else that life is cut first, and then the rate.
+// PlanFor decides the plan for each share of a limit. Rate is an equal share of the operators'
+// rate if the bound leaves room for the usual TTL of grants. Otherwise the TTL is cut first,
+// and then the rate.
 func PlanFor(b Bound, l *access.Limit) Plan {
-	most := b.allowed(l) * keptShare / Parts
-	least := max(most*depthShare, min(leastDepth, most/2))
-	p := Plan{Life: usualLife, Rate: l.PerSecond / Parts}
-	room := func() float64 { return most - p.Rate*(b.Window+p.Life).Seconds() }
-	if room() < least {
-		p.Life = leastLife
+	budget := b.allowed(l) * grantedShare / Parts
+	depth := max(budget*minDepthShare, min(minDepth, budget/2))
+	p := Plan{TTL: usualTTL, Rate: l.PerSecond / Parts}
+	room := func() float64 { return budget - p.Rate*(b.Window+p.TTL).Seconds() }
+	if room() < depth {
+		p.TTL = minTTL
 	}
-	if room() < least {
-		p.Rate = (most - least) / (b.Window + p.Life).Seconds()
+	if room() < depth {
+		p.Rate = (budget - depth) / (b.Window + p.TTL).Seconds()
 	}
-	p.Depth = max(least, room())
+	p.Depth = max(depth, room())
 	return p
 }
 
-// Grant is a leader's answer to one request.
+// Grant is a leader's reply to one request.
 type Grant struct {
-	// Granted says that the request may be sent within Life.
+	// Granted says that the request may be sent within the TTL.
 	Granted bool
-	Life    time.Duration
-	// RetryAfter is when it would be granted if nobody else asked; for one that is not.
+	TTL     time.Duration
+	// RetryAfter is when a refused request would be granted if no other one came first.
 	RetryAfter time.Duration
-	// Young says that the term has begun less than youngFor ago.
+	// Young says that the term is younger than youngTermDuration.
 	Young bool
 }
 
-// account is one workspace of a Granter.
+// account is the token bucket of one workspace of a Granter.
 type account struct {
-	at    time.Time
-	level float64
-	plan  Plan
+	refilledAt time.Time
+	level      float64
+	plan       Plan
 }
 
-// fill adds what has come since the last time.
-func (a *account) fill(now time.Time) {
-	if elapsed := now.Sub(a.at); elapsed > 0 {
+// refill adds the units for the time since the last refill.
+func (a *account) refill(now time.Time) {
+	if elapsed := now.Sub(a.refilledAt); elapsed > 0 {
 		a.level = min(a.plan.Depth*(1-overdraftShare), a.level+a.plan.Rate*elapsed.Seconds())
-		a.at = now
+		a.refilledAt = now
 	}
 }
 
-// Granter grants what the workspaces of one shard may use, in one term of its leader. It
-// is not safe for concurrent use.
+// Granter grants units to the workspaces of one shard, in one term of its leader. It is not
+// safe for concurrent use.
 type Granter struct {
-	accounts map[sandbarrow.WorkspaceID]*account
-	bound    Bound
-	since    time.Time
+	accounts  map[sandbarrow.WorkspaceID]*account
+	bound     Bound
+	startedAt time.Time
 }
 
-// NewGranter returns a Granter for a term that begins now.
+// NewGranter returns a Granter for a term that starts now.
 func NewGranter(b Bound, now time.Time) *Granter {
-	return &Granter{accounts: map[sandbarrow.WorkspaceID]*account{}, bound: b, since: now}
+	return &Granter{accounts: map[sandbarrow.WorkspaceID]*account{}, bound: b, startedAt: now}
 }
 
-// Ask decides whether a workspace may use so many units now. A request that needs more
-// than is there is granted as long as anything is there, up to the overdraft; what it
-// takes ahead is then missing for the next ones.
-func (g *Granter) Ask(now time.Time, id sandbarrow.WorkspaceID, l *access.Limit, units int64) Grant {
+// Acquire decides whether a workspace may use this many units now. A request may exceed the
+// available units by the overdraft. The units that it overdraws are then missing for the next
+// requests.
+func (g *Granter) Acquire(now time.Time, id sandbarrow.WorkspaceID, l *access.Limit, units int64) Grant {
 	a := g.account(now, id, l)
 	need := float64(units)
 	overdraft := a.plan.Depth * overdraftShare
 	missing := max(math.SmallestNonzeroFloat64, need-overdraft) - a.level
 	if missing > 0 {
-		return Grant{RetryAfter: a.wait(missing), Young: now.Sub(g.since) < youngFor}
+		return Grant{RetryAfter: a.waitFor(missing), Young: now.Sub(g.startedAt) < youngTermDuration}
 	}
 	a.level -= need
-	return Grant{Granted: true, Life: a.plan.Life}
+	return Grant{Granted: true, TTL: a.plan.TTL}
 }
 
-// wait is how long it takes until so much has come; a request that is larger than the
-// limit ever allows waits for a window.
-func (a *account) wait(missing float64) time.Duration {
+// waitFor returns the time until the missing units are refilled. It is a minute for a request
+// that is larger than the limit ever allows.
+func (a *account) waitFor(missing float64) time.Duration {
 	if a.level+missing > a.plan.Depth*(1-overdraftShare) || a.plan.Rate <= 0 {
 		return time.Minute
 	}
 	return time.Duration(missing / a.plan.Rate * float64(time.Second))
 }
 
-// account returns the account of a workspace under its limit of now. One that is new to
-// this term begins empty with the term.
+// account returns the account of a workspace under its current limit. An account that is new
+// in this term counts as empty at the start of the term.
 func (g *Granter) account(now time.Time, id sandbarrow.WorkspaceID, l *access.Limit) *account {
 	plan := PlanFor(g.bound, l)
 	a := g.accounts[id]
 	if a == nil {
-		a = &account{at: g.since, plan: plan}
+		a = &account{refilledAt: g.startedAt, plan: plan}
 		g.accounts[id] = a
 	}
-	a.fill(now)
+	a.refill(now)
 	if a.plan != plan {
 		a.plan = plan
 		a.level = min(a.level, plan.Depth*(1-overdraftShare))
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,17 +14,17 @@
 
 func at(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-func TestPlanLeavesTheBoundItsRoom(t *testing.T) {
+func TestPlanCutsTTLAndRateForTightBound(t *testing.T) {
 	usual := PlanFor(testBound, &access.Limit{Burst: 100_000, PerSecond: 100_000})
 	assert.Equal(t, usual.Rate*Parts, 100_000.0)
-	assert.Equal(t, usual.Life, usualLife)
+	assert.Equal(t, usual.TTL, usualTTL)
 	assert.Assert(t, usual.Depth*Parts > 40_000, "%v", usual.Depth)
 	tight := PlanFor(Bound{Window: 8 * time.Second}, &access.Limit{PerSecond: 1000})
 	assert.Assert(t, tight.Rate*Parts < 1000 && tight.Rate*Parts > 800, "%v", tight.Rate)
-	assert.Equal(t, tight.Life, leastLife)
+	assert.Equal(t, tight.TTL, minTTL)
 }
 
-// Whatever the bound and the limit, the plan keeps within what is allowed.
+// For any bound and limit, the plan grants no more than is allowed.
 func TestPlansKeepTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bound{
@@ -33,20 +33,20 @@
 		}
 		l := &access.Limit{Burst: rapid.Float64Range(0, 1e6).Draw(t, "burst"), PerSecond: rapid.Float64Range(0.1, 1e6).Draw(t, "rate")}
 		p := PlanFor(b, l)
-		used := p.Rate*(b.Window+p.Life).Seconds() + p.Depth
-		assert.Assert(t, used*Parts <= b.allowed(l)*(keptShare+1e-9), "%v of %v", used*Parts, b.allowed(l))
-		assert.Assert(t, p.Rate > 0 && p.Depth > 0 && p.Life > 0)
+		used := p.Rate*(b.Window+p.TTL).Seconds() + p.Depth
+		assert.Assert(t, used*Parts <= b.allowed(l)*(grantedShare+1e-9), "%v of %v", used*Parts, b.allowed(l))
+		assert.Assert(t, p.Rate > 0 && p.Depth > 0 && p.TTL > 0)
 	})
 }
 
-// A workspace at its limit has its large requests served as well as its small ones.
+// A workspace at its limit gets both its large and its small requests served.
 func TestLargeRequestsAreServedAtTheLimit(t *testing.T) {
 	l := &access.Limit{Burst: 20_000, PerSecond: 20_000}
 	g := NewGranter(testBound, at(0))
 	granted := map[int64]int{}
 	for i := range 1000 {
 		for _, units := range []int64{100, 4000} {
-			if g.Ask(at(i*20), "red", l, units).Granted {
+			if g.Acquire(at(i*20), "red", l, units).Granted {
 				granted[units]++
 			}
 		}
@@ -55,41 +55,41 @@
 	assert.Assert(t, granted[4000]*2 > granted[100], "%v", granted)
 }
 
-// What a workspace asks below its limit is granted, whatever another one asks.
-func TestWorkspacesDoNotTouchEachOther(t *testing.T) {
+// A workspace below its limit is always granted units, whatever another one requests.
+func TestWorkspacesAreIsolated(t *testing.T) {
 	l := &access.Limit{Burst: 20_000, PerSecond: 20_000}
 	g := NewGranter(testBound, at(-3000))
 	for i := range 2000 {
 		now := at(i * 10)
-		g.Ask(now, "hot", l, 5000)
+		g.Acquire(now, "hot", l, 5000)
 		if i%20 == 0 {
-			assert.Assert(t, g.Ask(now, "calm", l, 2000/Parts).Granted, "at %d", i)
+			assert.Assert(t, g.Acquire(now, "calm", l, 2000/Parts).Granted, "at %d", i)
 		}
 	}
 }
 
-// A refused request is told when it would be granted.
-func TestRetryAfter(t *testing.T) {
+// A refused request is granted after RetryAfter, and not earlier.
+func TestRetryAfterIsLongEnough(t *testing.T) {
 	l := &access.Limit{Burst: 20_000, PerSecond: 20_000}
 	g := NewGranter(testBound, at(-3000))
 	var refused Grant
-	for refused = g.Ask(at(0), "red", l, 2500); refused.Granted; {
-		refused = g.Ask(at(0), "red", l, 2500)
+	for refused = g.Acquire(at(0), "red", l, 2500); refused.Granted; {
+		refused = g.Acquire(at(0), "red", l, 2500)
 	}
 	assert.Assert(t, refused.RetryAfter > 0)
-	again := at(0).Add(refused.RetryAfter)
-	assert.Assert(t, !g.Ask(again.Add(-2*time.Millisecond), "red", l, 2500).Granted)
-	assert.Assert(t, g.Ask(again.Add(time.Millisecond), "red", l, 2500).Granted)
+	retry := at(0).Add(refused.RetryAfter)
+	assert.Assert(t, !g.Acquire(retry.Add(-2*time.Millisecond), "red", l, 2500).Granted)
+	assert.Assert(t, g.Acquire(retry.Add(time.Millisecond), "red", l, 2500).Granted)
 }
 
-// A lower limit holds at once, a higher one from then on.
-func TestLimitChanges(t *testing.T) {
+// A lowered limit applies at once, also after grants under the higher limit.
+func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	high, low := &access.Limit{Burst: 100_000, PerSecond: 100_000}, &access.Limit{Burst: 5000, PerSecond: 5000}
 	g := NewGranter(testBound, at(-3000))
-	assert.Assert(t, g.Ask(at(0), "red", high, 10_000).Granted)
+	assert.Assert(t, g.Acquire(at(0), "red", high, 10_000).Granted)
 	used := int64(0)
 	for i := range 800 {
-		if g.Ask(at(10*i+1), "red", low, 1000).Granted {
+		if g.Acquire(at(10*i+1), "red", low, 1000).Granted {
 			used += 1000
 		}
 	}
