--- a/crash/decide.go
+++ b/crash/decide.go
@@ -76,12 +76,12 @@
 }
 
 // Decision says whether a request is refused, and on how many crashes that is based.
-type Verdict struct {
+type Decision struct {
 	// Crashes counts the uncleared crashes under the request. Needed is the number from which
 	// it may be refused.
-	Ends, Needed int
+	Crashes, Needed int
 	// Refused says that the request must not be sent to any upstream.
 	Refused bool
 	// ExpiresIn is the time until the crashes expire, if no other one is added.
-	ForgottenIn time.Duration
+	ExpiresIn time.Duration
 }
--- a/crash/log.go
+++ b/crash/log.go
@@ -102,7 +102,7 @@
 }
 
 // CountAttempt counts a finished attempt, whatever its outcome.
-func (l *Log) Attempted() {
+func (l *Log) CountAttempt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts.Add(l.now(), shareHalfLife)
@@ -144,18 +144,18 @@
 
 // Decide decides whether a request may be sent to an upstream. upstreams is the number of
 // upstreams in the fleet.
-func (l *Log) Judge(f Fingerprint, upstreams int) Verdict {
+func (l *Log) Decide(f Fingerprint, upstreams int) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	l.expire(now)
-	d := Verdict{Needed: minCrashesNeeded}
+	d := Decision{Needed: minCrashesNeeded}
 	e := l.entries[f]
 	if e == nil {
 		return d
 	}
 	own := e.uncleared()
-	d.Ends, d.ForgottenIn = len(own), e.latest().Add(retention).Sub(now)
+	d.Crashes, d.ExpiresIn = len(own), e.latest().Add(retention).Sub(now)
 	if len(own) >= minCrashesNeeded {
 		d.Needed = crashesNeeded(max(l.localCrashShare(e, now), l.fleetCrashShare(own, upstreams)))
 		d.Refused = crashesUpstreams(own, l.suspects(f, own), d.Needed)
@@ -215,7 +215,7 @@
 }
 
 // Contains reports whether any crash is recorded for a request.
-func (l *Log) Knows(f Fingerprint) bool {
+func (l *Log) Contains(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[f] != nil
@@ -243,7 +243,7 @@
 
 // AddCrash records that an upstream has crashed. fingerprints are those of all requests of
 // this process that were running or waiting there.
-func (l *Log) Note(upstream sandbarrow.InstanceID, at time.Time, fingerprints ...Fingerprint) {
+func (l *Log) AddCrash(upstream sandbarrow.InstanceID, at time.Time, fingerprints ...Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -265,7 +265,7 @@
 
 // LocalSince is Since for the entries that this process has changed itself. They include the
 // crashes that other processes have recorded for the same requests.
-func (l *Log) Noted(sequence uint64) ([]Record, uint64) {
+func (l *Log) LocalSince(sequence uint64) ([]Record, uint64) {
 	return l.changesSince(sequence, func(e *entry) bool { return e.local })
 }
 
--- a/crash/log_test.go
+++ b/crash/log_test.go
@@ -26,7 +26,7 @@
 func addCrashes(l *Log, c *clock, f Fingerprint, upstreams ...string) {
 	for _, u := range upstreams {
 		c.at = c.at.Add(time.Second)
-		l.Note(sandbarrow.InstanceID(u), c.at, f)
+		l.AddCrash(sandbarrow.InstanceID(u), c.at, f)
 	}
 }
 
@@ -49,17 +49,17 @@
 	f := fingerprintOf("f")
 	assert.Assert(t, l.Empty())
 	addCrashes(l, c, f, "u1", "u2", "u2")
-	assert.Equal(t, l.Judge(f, 100).Ends, 2, "the same crash counts once")
-	assert.Assert(t, !l.Judge(f, 100).Refused)
+	assert.Equal(t, l.Decide(f, 100).Crashes, 2, "the same crash counts once")
+	assert.Assert(t, !l.Decide(f, 100).Refused)
 	addCrashes(l, c, f, "u3")
-	d := l.Judge(f, 100)
+	d := l.Decide(f, 100)
 	assert.Assert(t, d.Refused)
-	assert.Equal(t, d.ForgottenIn, retention)
-	assert.Assert(t, !l.Judge(fingerprintOf("other"), 100).Refused)
+	assert.Equal(t, d.ExpiresIn, retention)
+	assert.Assert(t, !l.Decide(fingerprintOf("other"), 100).Refused)
 	l.Clear(f)
-	assert.Equal(t, l.Judge(f, 100).Ends, 0)
+	assert.Equal(t, l.Decide(f, 100).Crashes, 0)
 	addCrashes(l, c, f, "u3", "u4")
-	assert.Equal(t, l.Judge(f, 100).Ends, 1, "a cleared crash stays cleared")
+	assert.Equal(t, l.Decide(f, 100).Crashes, 1, "a cleared crash stays cleared")
 }
 
 // A request is not refused for crashes at which a fatal request ran too, however many there are.
@@ -68,15 +68,15 @@
 	l := NewLog(c.now)
 	fatal, concurrent := fingerprintOf("fatal"), fingerprintOf("concurrent")
 	for i := range 4 {
-		l.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), c.at, fatal, concurrent)
+		l.AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", i)), c.at, fatal, concurrent)
 	}
-	assert.Assert(t, !l.Judge(concurrent, 100).Refused)
-	assert.Assert(t, !l.Judge(fatal, 100).Refused, "the crashes do not show which request is fatal")
+	assert.Assert(t, !l.Decide(concurrent, 100).Refused)
+	assert.Assert(t, !l.Decide(fatal, 100).Refused, "the crashes do not show which request is fatal")
 	addCrashes(l, c, fatal, "v1", "v2")
-	assert.Assert(t, l.Judge(fatal, 100).Refused)
-	assert.Assert(t, !l.Judge(concurrent, 100).Refused)
+	assert.Assert(t, l.Decide(fatal, 100).Refused)
+	assert.Assert(t, !l.Decide(concurrent, 100).Refused)
 	addCrashes(l, c, concurrent, "w1")
-	assert.Assert(t, !l.Judge(concurrent, 100).Refused, "one unrelated crash is common")
+	assert.Assert(t, !l.Decide(concurrent, 100).Refused, "one unrelated crash is common")
 }
 
 // In a burst of crashes a request is refused only after more crashes.
@@ -110,7 +110,7 @@
 			case 1:
 				send(i, (i+1+random.IntN(2))%len(logs))
 			default:
-				logs[i].Note(sandbarrow.InstanceID(fmt.Sprint("u", random.IntN(9))), c.at, f)
+				logs[i].AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", random.IntN(9))), c.at, f)
 			}
 		}
 		for range len(logs) {
@@ -121,9 +121,9 @@
 		}
 		for n := range 4 {
 			f := fingerprintOf(fmt.Sprint(n))
-			want := logs[0].Judge(f, 100)
+			want := logs[0].Decide(f, 100)
 			for i := range logs {
-				assert.Equal(t, logs[i].Judge(f, 100).Ends, want.Ends, "seed %d, log %d", seed, i)
+				assert.Equal(t, logs[i].Decide(f, 100).Crashes, want.Crashes, "seed %d, log %d", seed, i)
 			}
 		}
 		for i := range logs { // converged logs have no more changes to send
@@ -140,15 +140,15 @@
 	fatal := fingerprintOf("fatal")
 	addCrashes(l, c, fatal, "u1", "u2", "u3")
 	for i := range 3 * maxEntries {
-		l.Note(sandbarrow.InstanceID(fmt.Sprint("v", i)), c.at, fingerprintOf(fmt.Sprint(i)))
+		l.AddCrash(sandbarrow.InstanceID(fmt.Sprint("v", i)), c.at, fingerprintOf(fmt.Sprint(i)))
 	}
 	records, _ := l.Since(0, nil)
 	assert.Equal(t, len(records), maxEntries)
-	assert.Equal(t, l.Judge(fatal, 100).Ends, 3)
+	assert.Equal(t, l.Decide(fatal, 100).Crashes, 3)
 	for i := range 3 * maxCrashesPerEntry {
 		addCrashes(l, c, fatal, fmt.Sprint("w", i))
 	}
-	assert.Equal(t, l.Judge(fatal, 100).Ends, maxCrashesPerEntry)
+	assert.Equal(t, l.Decide(fatal, 100).Crashes, maxCrashesPerEntry)
 	text, err := json.Marshal(records)
 	assert.NilError(t, err)
 	assert.Assert(t, len(text) < 150*maxEntries, "%d bytes", len(text))
@@ -162,9 +162,9 @@
 	addCrashes(l, c, f, "u1", "u2", "u3")
 	records, _ := l.Since(0, nil)
 	c.at = c.at.Add(retention - time.Second)
-	assert.Assert(t, l.Judge(f, 100).Refused)
+	assert.Assert(t, l.Decide(f, 100).Refused)
 	c.at = c.at.Add(2 * time.Second)
-	assert.Assert(t, !l.Judge(f, 100).Refused)
+	assert.Assert(t, !l.Decide(f, 100).Refused)
 	assert.Assert(t, l.Empty())
 	assert.Assert(t, !l.Merge(nil, []Record{records[0].Aged((retention + time.Second).Milliseconds())}))
 	assert.Assert(t, !l.Merge(nil, []Record{{Fingerprint: f, Crashes: []RecordedCrash{{AgeMS: -5, Upstream: "u"}, {AgeMS: 5}}}}), "malformed")
--- a/crash/record.go
+++ b/crash/record.go
@@ -31,7 +31,7 @@
 }
 
 // Uncleared counts the crashes that are not cleared.
-func (r *Record) Open() int {
+func (r *Record) Uncleared() int {
 	n := 0
 	for i := range r.Crashes {
 		if !r.Crashes[i].Cleared {
--- a/crash/storm_test.go
+++ b/crash/storm_test.go
@@ -118,7 +118,7 @@
 func (s *simulation) send(r *simulatedRun, maxDuration time.Duration) {
 	r.sends++
 	r.gateway = s.gateways[s.rand.IntN(len(s.gateways))]
-	if !r.gateway.Empty() && r.gateway.Judge(r.print, len(s.upstreams)).Refused {
+	if !r.gateway.Empty() && r.gateway.Decide(r.print, len(s.upstreams)).Refused {
 		if r.fatal < 0 {
 			s.unrelatedRefused++
 			for _, c := range r.gateway.entries[r.print].uncleared() {
@@ -176,7 +176,7 @@
 			continue
 		}
 		s.running = append(s.running[:due], s.running[due+1:]...)
-		r.gateway.Attempted()
+		r.gateway.CountAttempt()
 		r.gateway.Clear(r.print)
 		s.unrelatedServed++
 	}
@@ -196,7 +196,7 @@
 			continue
 		}
 		broken[r.gateway] = append(broken[r.gateway], r.print)
-		r.gateway.Attempted()
+		r.gateway.CountAttempt()
 		if r.fatal < 0 {
 			s.crashedAttempts++
 		}
@@ -207,7 +207,7 @@
 	s.running = remaining
 	for _, g := range s.gateways { // in a fixed order
 		if len(broken[g]) > 0 {
-			g.Note(id, s.now, broken[g]...)
+			g.AddCrash(id, s.now, broken[g]...)
 		}
 	}
 	s.mergeLogs()
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -70,8 +70,8 @@
 	refusal := sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "no upstream can take the request now", noUpstreamPause)
 	j.attempt.Attempt = 1
 	for range maxAttempts {
-		if v := e.crashes.Judge(*j.attempt.Fingerprint, e.Connected()); v.Refused {
-			return wire.AttemptResult{}, worse(refusal, sandbarrow.NotRun(sandbarrow.ReasonEndsUpstreams, "upstreams have ended under this request", v.ForgottenIn))
+		if v := e.crashes.Decide(*j.attempt.Fingerprint, e.Connected()); v.Refused {
+			return wire.AttemptResult{}, worse(refusal, sandbarrow.NotRun(sandbarrow.ReasonEndsUpstreams, "upstreams have ended under this request", v.ExpiresIn))
 		}
 		index, ok := e.chooser.Choose(time.Now(), &j.route)
 		if !ok {
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -241,7 +241,7 @@
 	go c.watchProgress(ctx, cancel, e, p)
 	c.gateway.upstreams.begin(e.instance.ID)
 	result := c.runEngine(ctx, e, version, p)
-	c.gateway.crashes.Attempted()
+	c.gateway.crashes.CountAttempt()
 	if result == resultBroken && !p.proven {
 		c.noteBroken(ctx, e.instance)
 	}
--- a/gateway/serveplain.go
+++ b/gateway/serveplain.go
@@ -105,7 +105,7 @@
 	if err != nil && !errors.Is(err, forward.ErrNotSent) {
 		c.noteBroken(ctx, in)
 	}
-	c.gateway.crashes.Attempted()
+	c.gateway.crashes.CountAttempt()
 	left := c.request.Context().Err() != nil
 	c.gateway.upstreams.end(in.ID, !left && (err != nil || got.answer.Status >= http.StatusInternalServerError))
 	return got, err
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -184,7 +184,7 @@
 		if !s.loweredAt.IsZero() && !from.Before(s.loweredAt.Add(usualTTL)) {
 			limit = &modelLow
 		}
-		if maxUsed := modelBound.allowed(limit) / Parts; float64(n) > maxUsed {
+		if maxUsed := modelBound.allowed(limit) / LimitShares; float64(n) > maxUsed {
 			return fmt.Sprintf("%d used in the window up to %v, %v allowed", n, end.Sub(time.Unix(1000, 0)), maxUsed)
 		}
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -43,16 +43,16 @@
 // LimitShares is the number of shares into which a limit is split. Each share has its own
 // leader. When one leader is lost, the others continue. With a single share, a workspace gets
 // no grants for up to 2 s, until another process leads, which starts with nothing to grant.
-const Parts = 2
+const LimitShares = 2
 
 // ShardsOf returns the shards of the shares of a workspace's limit. They are all different.
-func ShardsOf(id sandbarrow.WorkspaceID) [Parts]Shard {
+func ShardsOf(id sandbarrow.WorkspaceID) [LimitShares]Shard {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	first := Shard(h.Sum32() % uint32(Shards))
-	var all [Parts]Shard
+	var all [LimitShares]Shard
 	for i := range all {
-		all[i] = (first + Shard(i)*(Shards/Parts)) % Shards
+		all[i] = (first + Shard(i)*(Shards/LimitShares)) % Shards
 	}
 	return all
 }
@@ -112,9 +112,9 @@
 // rate if the bound leaves room for the usual TTL of grants. Otherwise the TTL is cut first,
 // and then the rate.
 func PlanFor(b Bound, l *access.Limit) Plan {
-	budget := b.allowed(l) * grantedShare / Parts
+	budget := b.allowed(l) * grantedShare / LimitShares
 	depth := max(budget*minDepthShare, min(minDepth, budget/2))
-	p := Plan{TTL: usualTTL, Rate: l.PerSecond / Parts}
+	p := Plan{TTL: usualTTL, Rate: l.PerSecond / LimitShares}
 	room := func() float64 { return budget - p.Rate*(b.Window+p.TTL).Seconds() }
 	if room() < depth {
 		p.TTL = minTTL
