--- a/evict/cost.go
+++ b/evict/cost.go
@@ -1,5 +1,5 @@
-// Package evict holds the rule by which an idle adapter gives up its slot. It
-// keeps no state; agents and controllers use it.
+// Package evict chooses which idle adapter is evicted from its slot. It is stateless.
+// Agents and controllers use it.
 package evict
 
 import (
@@ -8,19 +8,20 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Cost evicts the adapter whose loss costs least: the one with the lowest
-// decayed demand, where recent use counts as demand that is not seen yet.
+// Cost evicts the adapter with the lowest expected demand. This is the decayed rate of its
+// requests, plus a term for recent use, which may be the start of more demand.
 type Cost struct {
-	// Recency bounds what the last use counts: at most as one request in that time.
+	// Recency bounds the weight of the last use, which counts at most as one request per
+	// Recency.
 	Recency time.Duration
 }
 
-// NewCost returns the rule with its defaults.
+// NewCost returns a Cost with default values.
 func NewCost() Cost {
 	return Cost{Recency: 4 * time.Minute}
 }
 
-// Evict returns the adapter that costs least.
+// Evict returns the index of the adapter with the lowest expected demand.
 func (c Cost) Evict(now time.Time, _ sandbarrow.SlotView, idle []sandbarrow.SlotView) (int, bool) {
 	best, bestCost := -1, 0.0
 	for i := range idle {
@@ -34,8 +35,8 @@
 
 func (c Cost) cost(now time.Time, v *sandbarrow.SlotView) float64 {
 	unused := now.Sub(v.LastUsed)
-	// One use may be the first of many: the estimate 1/unused falls as the
-	// adapter stays idle.
+	// One use may be the first of many. The rate estimated from it, 1/unused, falls while
+	// the adapter stays idle.
 	recency := 1 / (unused.Seconds() + c.Recency.Seconds())
 	return v.Demand + recency
 }
--- a/loadbudget/backoff.go
+++ b/loadbudget/backoff.go
@@ -1,6 +1,5 @@
-// Package loadbudget bounds the loads that an agent takes from the weight store,
-// which all agents share. A Backoff belongs to one agent and is not safe for
-// concurrent use.
+// Package loadbudget limits the loads that an agent makes from the weight store, which all
+// agents share. A Backoff belongs to one agent and is not safe for concurrent use.
 package loadbudget
 
 import (
@@ -10,23 +9,24 @@
 )
 
 const (
-	// firstPause follows the first push-back; each further one doubles it.
-	firstPause = 500 * time.Millisecond
-	// maxPause bounds it, so that no agent starves.
-	maxPause = 4 * time.Second
-	// pollPause is the wait when only another load's end can help.
-	pollPause = 20 * time.Millisecond
+	// initialBackoff follows the first rejection by the weight store. Each consecutive
+	// rejection doubles it.
+	initialBackoff = 500 * time.Millisecond
+	// maxBackoff bounds the backoff, which prevents starvation of an agent.
+	maxBackoff = 4 * time.Second
+	// pollInterval is the wait while all parallel loads are in use.
+	pollInterval = 20 * time.Millisecond
 )
 
-// Backoff lets each agent use the whole rate and pauses it after the weight
-// store's own push-back. An agent with much demand takes what idle agents
-// leave, nothing is agreed with anybody, and no outage stops loads.
+// Backoff lets each agent use the whole rate of the weight store and pauses the agent after
+// a rejection by the store. An agent with high demand can use what idle agents leave. Agents
+// do not coordinate, so an outage of another process does not stop loads.
 type Backoff struct {
-	active   int
-	limit    *rate.Limiter
-	parallel int
-	pushes   int
-	until    time.Time
+	active                int
+	limit                 *rate.Limiter
+	parallel              int
+	consecutiveRejections int
+	backoffUntil          time.Time
 }
 
 // NewBackoff returns the budget of one agent.
@@ -37,13 +37,13 @@
 	}
 }
 
-// Acquire takes one load.
+// Acquire reserves one load. If none is available, it returns how long to wait.
 func (b *Backoff) Acquire(now time.Time) (bool, time.Duration) {
 	if b.active >= b.parallel {
-		return false, pollPause
+		return false, pollInterval
 	}
-	if now.Before(b.until) {
-		return false, b.until.Sub(now)
+	if now.Before(b.backoffUntil) {
+		return false, b.backoffUntil.Sub(now)
 	}
 	r := b.limit.ReserveN(now, 1)
 	if wait := r.DelayFrom(now); wait > 0 {
@@ -54,13 +54,14 @@
 	return true, 0
 }
 
-// Release ends one load and learns from the push-back.
+// Release ends one load. congested means that the weight store rejected the load, which
+// starts or lengthens the backoff.
 func (b *Backoff) Release(now time.Time, congested bool) {
 	b.active = max(0, b.active-1)
 	if !congested {
-		b.pushes = 0
+		b.consecutiveRejections = 0
 		return
 	}
-	b.until = now.Add(min(maxPause, firstPause<<min(b.pushes, 8)))
-	b.pushes++
+	b.backoffUntil = now.Add(min(maxBackoff, initialBackoff<<min(b.consecutiveRejections, 8)))
+	b.consecutiveRejections++
 }
--- a/loadbudget/budget_test.go
+++ b/loadbudget/budget_test.go
@@ -7,15 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestBackoff(t *testing.T) {
+func TestBackoffDoublesUpToItsMaximum(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBackoff(10, 2)
 	ok, _ := b.Acquire(now)
 	assert.Assert(t, ok)
 	ok, wait := b.Acquire(now)
-	assert.Assert(t, !ok && wait > 0, "the rate is ten a second")
+	assert.Assert(t, !ok && wait > 0, "acquired two loads at once, at a rate of ten per second")
 	b.Release(now, true)
-	pause := firstPause
+	backoff := initialBackoff
 	for range 6 {
 		now = now.Add(time.Second)
 		ok, wait = b.Acquire(now)
@@ -25,20 +25,20 @@
 		}
 		assert.Assert(t, ok)
 		b.Release(now, true)
-		pause = min(maxPause, 2*pause)
+		backoff = min(maxBackoff, 2*backoff)
 		_, wait = b.Acquire(now)
-		assert.Equal(t, wait, pause)
+		assert.Equal(t, wait, backoff)
 	}
-	now = now.Add(maxPause)
+	now = now.Add(maxBackoff)
 	ok, _ = b.Acquire(now)
-	assert.Assert(t, ok, "no agent starves")
+	assert.Assert(t, ok, "still refused after the maximum backoff")
 	b.Release(now, false)
 	now = now.Add(time.Second)
 	ok, _ = b.Acquire(now)
-	assert.Assert(t, ok, "a load that went well ends the pauses")
+	assert.Assert(t, ok, "a successful load did not end the backoff")
 }
 
-func TestParallelLoads(t *testing.T) {
+func TestAcquireBoundsParallelLoads(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBackoff(10, 2)
 	for i := range 2 {
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -1,6 +1,6 @@
-// Package placement chooses an upstream for each request of an entry. It owns the
-// fleet as this entry knows it: what agents report and what is under way from here.
-// It relies on the entry to report both; only entries use it.
+// Package placement chooses an upstream for each request of an entry. It owns the entry's
+// cached view of the fleet: what agents report, and the requests that this entry has in
+// progress. The entry updates both. Only entries use this package.
 package placement
 
 import (
@@ -12,7 +12,7 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Info is what does not change while an upstream is connected.
+// Info describes an upstream. It does not change while the upstream is connected.
 type Info struct {
 	BaseModel     sandbarrow.BaseModelID
 	Box           sandbarrow.BoxID
@@ -22,7 +22,7 @@
 	Service       sandbarrow.ServiceID
 }
 
-// Load is what an upstream reports, with a lag.
+// Load is the last reported load of an upstream. It lags behind the actual load.
 type Load struct {
 	LoadTime    time.Duration
 	Queued      int
@@ -35,19 +35,19 @@
 	available bool
 	hash      uint64
 	info      Info
-	// inflight counts the requests sent from here that have not ended.
+	// inflight counts the requests sent by this entry that have not ended.
 	inflight int
 	load     Load
 	resident map[uint64]struct{}
 }
 
-// busy is the number of requests that are known to be there.
-func (u *upstream) busy() int {
+// requestCount returns the number of known requests at the upstream.
+func (u *upstream) requestCount() int {
 	return max(u.inflight, u.load.Running+u.load.Queued)
 }
 
-// Fleet holds what is known of the upstreams. An index is given to an upstream
-// for good and reused only for the same id.
+// Fleet is the cached view of the upstreams. An upstream keeps its index for good. An
+// index is reused only for the same ID.
 type Fleet struct {
 	mu        sync.Mutex
 	byID      map[sandbarrow.UpstreamID]int
@@ -61,7 +61,8 @@
 	return &Fleet{byID: map[sandbarrow.UpstreamID]int{}, ranks: map[rankKey][]uint16{}}
 }
 
-// Add puts an upstream in, or back in after it was away, and returns its index.
+// Add adds an upstream, or makes it available again after a disconnect, and returns its
+// index.
 func (f *Fleet) Add(info Info) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,8 +84,8 @@
 	return i
 }
 
-// Members returns the number of upstreams that were ever added, and a number
-// that grows whenever one is added or described anew.
+// Members returns the number of upstreams that were ever added, and an epoch that
+// increases whenever one is added or its description changes.
 func (f *Fleet) Members() (count, epoch int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,28 +99,28 @@
 	f.upstreams[i].inflight++
 }
 
-// End counts a request that has ended.
+// End counts the end of a request sent to an upstream.
 func (f *Fleet) End(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.upstreams[i].inflight--
 }
 
-// Info returns what is known of an upstream.
+// Info returns the description of an upstream.
 func (f *Fleet) Info(i int) Info {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.upstreams[i].info
 }
 
-// SetAvailable says whether new requests may go to an upstream.
+// SetAvailable sets whether new requests may go to an upstream.
 func (f *Fleet) SetAvailable(i int, available bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.upstreams[i].available = available
 }
 
-// SetLoad replaces what an upstream reports.
+// SetLoad replaces the reported load of an upstream.
 func (f *Fleet) SetLoad(i int, l Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,8 +138,8 @@
 	f.upstreams[i].resident = resident
 }
 
-// Suits reports whether an upstream may serve a request at all.
-func (u *upstream) suits(i int, r *sandbarrow.RouteRequest) bool {
+// isEligible reports whether an upstream may serve a request.
+func (u *upstream) isEligible(i int, r *sandbarrow.RouteRequest) bool {
 	return u.available &&
 		u.info.BaseModel == r.BaseModel &&
 		u.info.Service == r.Service &&
@@ -146,7 +147,7 @@
 		(r.Permitted == nil || r.Permitted.Has(i))
 }
 
-// HashModel is the stable hash of a model for routing.
+// HashModel returns the stable hash of a model for routing.
 func HashModel(m sandbarrow.ModelRef) uint64 {
 	return xxhash.Sum64String(m.String())
 }
--- a/placement/ranking.go
+++ b/placement/ranking.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// maxCached bounds the cached rankings: three times the adapters of the two-year
+	// maxCachedRankings bounds the number of cached rankings: three times the adapters of the two-year
 	// plan, at 115 bytes each (docs/CAPACITY.md).
-	maxCached = 32768
-	// replicas is the number of upstreams that a model may spread over.
-	replicas = 8
+	maxCachedRankings = 32768
+	// maxReplicas is the largest number of upstreams that a model spreads over.
+	maxReplicas = 8
 )
 
-// rankKey names a cached ranking of a model.
+// rankKey is the cache key of a model's ranking.
 type rankKey struct {
 	base sandbarrow.BaseModelID
 	hash uint64
 }
 
-// rank returns the upstreams of a request by rendezvous hashing, the first two
-// in different failure domains. The caller holds mu.
+// rank returns the upstreams for a request, ordered by rendezvous hashing. The first two
+// are in different failure domains, if there are several. The caller holds mu.
 func (f *Fleet) rank(r *sandbarrow.RouteRequest) []uint16 {
 	if r.Service != "" {
-		// Calls of services have a hash each; they would push out the models.
+		// Each call of a service has its own hash. Caching these rankings would evict those
+		// of the models.
 		return f.computeRank(r)
 	}
 	key := rankKey{base: r.BaseModel, hash: r.Hash}
 	if ranked, ok := f.ranks[key]; ok {
 		return ranked
 	}
-	if len(f.ranks) >= maxCached {
+	if len(f.ranks) >= maxCachedRankings {
 		clear(f.ranks)
 	}
 	ranked := f.computeRank(r)
@@ -39,8 +40,8 @@
 }
 
 func (f *Fleet) computeRank(r *sandbarrow.RouteRequest) []uint16 {
-	ranked := make([]uint16, 0, replicas)
-	scores := make([]uint64, 0, replicas)
+	ranked := make([]uint16, 0, maxReplicas)
+	scores := make([]uint64, 0, maxReplicas)
 	for i := range f.upstreams {
 		u := &f.upstreams[i]
 		if u.info.BaseModel != r.BaseModel || u.info.Service != r.Service {
@@ -52,27 +53,28 @@
 	return ranked
 }
 
-// insertScore keeps the best scores in falling order.
+// insertScore inserts a score if it is among the best, and keeps the scores in descending
+// order.
 func insertScore(ranked []uint16, scores []uint64, i uint16, score uint64) ([]uint16, []uint64) {
-	at := len(scores)
-	for at > 0 && scores[at-1] < score {
-		at--
+	position := len(scores)
+	for position > 0 && scores[position-1] < score {
+		position--
 	}
-	if at == replicas {
+	if position == maxReplicas {
 		return ranked, scores
 	}
-	if len(scores) < replicas {
+	if len(scores) < maxReplicas {
 		ranked = append(ranked, 0)
 		scores = append(scores, 0)
 	}
-	copy(ranked[at+1:], ranked[at:])
-	copy(scores[at+1:], scores[at:])
-	ranked[at], scores[at] = i, score
+	copy(ranked[position+1:], ranked[position:])
+	copy(scores[position+1:], scores[position:])
+	ranked[position], scores[position] = i, score
 	return ranked, scores
 }
 
-// spreadDomains brings the best upstream of another failure domain to the
-// second place, so that losing a domain leaves a warm or next copy elsewhere.
+// spreadDomains moves the best upstream of another failure domain to the second rank. When
+// a domain fails, a loaded copy or the next rank is then available in another domain.
 func (f *Fleet) spreadDomains(ranked []uint16) {
 	if len(ranked) < 2 {
 		return
--- a/placement/route_test.go
+++ b/placement/route_test.go
@@ -11,10 +11,10 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-const routeAdapters = 11_000
+const adapterCount = 11_000
 
-// bigFleet returns a fleet of runners with some adapters loaded on each.
-func bigFleet(runners int) *Fleet {
+// newLoadedFleet returns a fleet of runners with some adapters loaded on each.
+func newLoadedFleet(runners int) *Fleet {
 	f := NewFleet()
 	for i := range runners {
 		index := f.Add(Info{
@@ -34,7 +34,7 @@
 }
 
 func model(i int) sandbarrow.ModelRef {
-	return sandbarrow.ModelRef{Adapter: sandbarrow.AdapterID(fmt.Sprint("adapter-", i%routeAdapters)), Version: "v1"}
+	return sandbarrow.ModelRef{Adapter: sandbarrow.AdapterID(fmt.Sprint("adapter-", i%adapterCount)), Version: "v1"}
 }
 
 func route(i int) *sandbarrow.RouteRequest {
@@ -45,15 +45,15 @@
 }
 
 func BenchmarkRoute(b *testing.B) {
-	routes := make([]*sandbarrow.RouteRequest, routeAdapters)
+	routes := make([]*sandbarrow.RouteRequest, adapterCount)
 	for i := range routes {
 		routes[i] = route(i)
 	}
 	for _, runners := range []int{18, 400, 4000} {
-		f := bigFleet(runners)
+		f := newLoadedFleet(runners)
 		c := NewAffinity(f)
 		for _, r := range routes {
-			c.Choose(time.Time{}, r) // the rankings are kept
+			c.Choose(time.Time{}, r) // fills the ranking cache
 		}
 		b.Run(fmt.Sprintf("runners=%d", runners), func(b *testing.B) {
 			b.ReportAllocs()
@@ -75,20 +75,20 @@
 	}
 }
 
-// BenchmarkFleetMemory reports bytes for each runner and each kept ranking.
+// BenchmarkFleetMemory reports the bytes per runner and per cached ranking.
 func BenchmarkFleetMemory(b *testing.B) {
 	for _, runners := range []int{18, 400, 4000} {
 		b.Run(fmt.Sprintf("runners=%d", runners), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				f := bigFleet(runners)
+				f := newLoadedFleet(runners)
 				built := heapBytes()
 				c := NewAffinity(f)
-				for i := range routeAdapters {
+				for i := range adapterCount {
 					c.Choose(time.Time{}, route(i))
 				}
 				b.ReportMetric(float64(built-before)/float64(runners), "bytes/runner")
-				b.ReportMetric(float64(heapBytes()-built)/routeAdapters, "bytes/ranking")
+				b.ReportMetric(float64(heapBytes()-built)/adapterCount, "bytes/ranking")
 				runtime.KeepAlive(f)
 			}
 		})
@@ -102,8 +102,8 @@
 	return int64(m.HeapAlloc)
 }
 
-func TestRankingSpreadsDomains(t *testing.T) {
-	f := bigFleet(18)
+func TestFirstTwoRanksSpanFailureDomains(t *testing.T) {
+	f := newLoadedFleet(18)
 	for i := range 200 {
 		ranked := f.rank(route(i))
 		assert.Assert(t, len(ranked) >= 2)
@@ -111,44 +111,44 @@
 	}
 }
 
-func TestRankingIsStable(t *testing.T) {
-	small, grown := bigFleet(60), bigFleet(63)
+func TestNewUpstreamMovesFewAdapters(t *testing.T) {
+	small, grown := newLoadedFleet(60), newLoadedFleet(63)
 	moved := 0
 	for i := range 1000 {
 		if small.rank(route(i))[0] != grown.rank(route(i))[0] {
 			moved++
 		}
 	}
-	// One new runner in 21 of each base model takes one in 21 adapters.
+	// Each base model has 21 runners instead of 20. The new one takes one in 21 adapters.
 	assert.Assert(t, moved > 20 && moved < 90, "%d of 1000 moved", moved)
 }
 
-func TestChoose(t *testing.T) {
+func TestChoosePrefersLowestCost(t *testing.T) {
 	first := func(f *Fleet, r *sandbarrow.RouteRequest) int { return int(f.rank(r)[0]) }
 	for name, tc := range map[string]struct {
 		arrange func(f *Fleet, r *sandbarrow.RouteRequest)
 		want    func(f *Fleet, r *sandbarrow.RouteRequest, got int) bool
 	}{
-		"idle fleet takes the first place": {
+		"first rank in an idle fleet": {
 			func(*Fleet, *sandbarrow.RouteRequest) {},
 			func(f *Fleet, r *sandbarrow.RouteRequest, got int) bool { return got == first(f, r) },
 		},
-		"a loaded copy goes before the first place": {
+		"a loaded copy goes before the first rank": {
 			func(f *Fleet, r *sandbarrow.RouteRequest) { f.SetResident(int(f.rank(r)[2]), []uint64{r.Hash}) },
 			func(f *Fleet, r *sandbarrow.RouteRequest, got int) bool { return got == int(f.rank(r)[2]) },
 		},
-		"a long queue spills to the next place": {
+		"a long queue spills to the next rank": {
 			func(f *Fleet, r *sandbarrow.RouteRequest) {
 				f.SetResident(first(f, r), []uint64{r.Hash})
 				f.SetLoad(first(f, r), Load{LoadTime: time.Second, Queued: 100, Running: 32, ServiceTime: time.Second})
 			},
 			func(f *Fleet, r *sandbarrow.RouteRequest, got int) bool { return got == int(f.rank(r)[1]) },
 		},
-		"an unavailable upstream is passed over": {
+		"an unavailable upstream is skipped": {
 			func(f *Fleet, r *sandbarrow.RouteRequest) { f.SetAvailable(first(f, r), false) },
 			func(f *Fleet, r *sandbarrow.RouteRequest, got int) bool { return got != first(f, r) },
 		},
-		"an excluded upstream is passed over": {
+		"an excluded upstream is skipped": {
 			func(f *Fleet, r *sandbarrow.RouteRequest) {
 				r.Exclude = &sandbarrow.IndexSet{}
 				r.Exclude.Add(first(f, r))
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy compiles and runs the operators' policies: short CEL programs
-// with a bounded cost.
+// Package policy compiles and evaluates the operators' policies, which are short CEL
+// programs with a bounded cost.
 package policy
 
 import (
@@ -11,49 +11,50 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// MaxCost bounds one run of a program, in CEL cost units.
+// MaxCost bounds one evaluation of a program, in CEL cost units.
 const MaxCost = 2000
 
-// maxListSize is the largest list or text that the cost estimate assumes.
+// maxListSize is the largest size of a list or string that the cost estimate assumes.
 const maxListSize = 64
 
-// ErrInvalid is the error of a policy that does not compile or costs too much.
+// ErrInvalid is the error for a policy that does not compile, costs too much or fails in an
+// evaluation.
 const ErrInvalid = errors.ConstError("policy: not valid")
 
-// Source is a policy as operators write it. Each field is a CEL expression.
+// Source is the source text of a policy. Each field is a CEL expression.
 type Source struct {
-	// Once says whether a request must not be repeated: bool; default false.
+	// Once says whether a request must run at most once: bool; default false.
 	Once string `json:"once,omitempty"`
 	// Place says whether an upstream may run the adapter: bool; default true.
 	Place string `json:"place,omitempty"`
 	// Priority of a request: int, 0 is the most urgent; default the class's.
 	Priority string `json:"priority,omitempty"`
-	// Version to run: text; default the adapter's last version.
+	// Version to run: string; default the adapter's latest version.
 	Version string `json:"version,omitempty"`
 }
 
-// Request is what the programs may know of a request.
+// Request holds the properties of a request that programs can use.
 type Request struct {
 	Adapter  sandbarrow.AdapterID
 	Caller   sandbarrow.CallerID
 	Class    sandbarrow.CallerClass
 	ClassPri int
-	// Latest is the adapter's last version.
+	// Latest is the adapter's latest version.
 	Latest sandbarrow.VersionID
-	// Marked says that the caller marked the request once-only.
+	// MarkedAtMostOnce reports that the caller marked the request as at-most-once.
 	Marked bool
-	// Percent is 0 to 99, stable per caller and adapter, for rollouts.
+	// Percent is a number from 0 to 99 for rollouts. It is stable per caller and adapter.
 	Percent int
 }
 
-// Upstream is what the place program may know of an upstream.
+// Upstream holds the properties of an upstream that the place program can use.
 type Upstream struct {
 	Box           sandbarrow.BoxID
 	FailureDomain sandbarrow.FailureDomain
 	ID            sandbarrow.UpstreamID
 }
 
-// Policy is a compiled policy. It may be used concurrently.
+// Policy is a compiled policy. It is safe for concurrent use.
 type Policy struct {
 	once, place, priority, version cel.Program
 }
@@ -88,11 +89,11 @@
 }
 
 func environments() (request, upstream *cel.Env, err error) {
-	caller := []cel.EnvOption{
+	common := []cel.EnvOption{
 		cel.Variable("adapter", cel.StringType),
 		cel.Variable("class", cel.StringType),
 	}
-	request, err = cel.NewEnv(append(caller,
+	request, err = cel.NewEnv(append(common,
 		cel.Variable("caller", cel.StringType),
 		cel.Variable("class_priority", cel.IntType),
 		cel.Variable("latest", cel.StringType),
@@ -131,17 +132,17 @@
 
 type sizeEstimator struct{}
 
-// EstimateCallCost leaves the cost of calls to the library.
+// EstimateCallCost returns nil: the CEL library estimates the cost of calls.
 func (sizeEstimator) EstimateCallCost(string, string, *checker.AstNode, []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
 
-// EstimateSize bounds texts and lists.
+// EstimateSize bounds the sizes of strings and lists.
 func (sizeEstimator) EstimateSize(checker.AstNode) *checker.SizeEstimate {
 	return &checker.SizeEstimate{Min: 0, Max: maxListSize}
 }
 
-// Once says whether a request must not be repeated.
+// Once reports whether a request must run at most once.
 func (p *Policy) Once(r *Request) (bool, error) {
 	if p.once == nil {
 		return r.Marked, nil
@@ -153,7 +154,7 @@
 	return r.Marked || v.Value().(bool), nil
 }
 
-// Place says whether an upstream may serve a class.
+// Place reports whether an upstream may serve requests of a class.
 func (p *Policy) Place(class sandbarrow.CallerClass, u Upstream) (bool, error) {
 	if p.place == nil {
 		return true, nil
@@ -170,7 +171,7 @@
 	return v.Value().(bool), nil
 }
 
-// Priority gives a request's priority, 0 the most urgent.
+// Priority returns the priority of a request; 0 is the most urgent.
 func (p *Policy) Priority(r *Request) (int, error) {
 	if p.priority == nil {
 		return r.ClassPri, nil
@@ -182,7 +183,7 @@
 	return max(0, int(v.Value().(int64))), nil
 }
 
-// Version names the adapter version to run.
+// Version returns the adapter version to run.
 func (p *Policy) Version(r *Request) (sandbarrow.VersionID, error) {
 	if p.version == nil {
 		return r.Latest, nil
--- a/queueorder/aged.go
+++ b/queueorder/aged.go
@@ -1,5 +1,5 @@
-// Package queueorder holds the order in which an agent takes waiting requests.
-// It keeps no state.
+// Package queueorder defines the order in which an agent starts waiting requests.
+// It is stateless.
 package queueorder
 
 import (
@@ -8,17 +8,17 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Aged takes urgent classes first, but each step of priority is worth only
-// Step of waiting, so that no class is starved.
+// Aged puts urgent classes first, but each level of priority counts only as much as Step of
+// waiting time. This prevents starvation of low-priority classes.
 type Aged struct {
 	Step time.Duration
 }
 
 // Less reports whether a goes before b.
 func (o Aged) Less(_ time.Time, a, b sandbarrow.Waiting) bool {
-	return o.due(a).Before(o.due(b))
+	return o.effectiveArrival(a).Before(o.effectiveArrival(b))
 }
 
-func (o Aged) due(w sandbarrow.Waiting) time.Time {
+func (o Aged) effectiveArrival(w sandbarrow.Waiting) time.Time {
 	return w.Arrived.Add(time.Duration(w.Priority) * o.Step)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,4 @@
-// Package route holds the table by which requests are matched to services:
-// by host and longest path prefix.
+// Package route matches requests to services, by host and longest path prefix.
 package route
 
 import (
@@ -13,58 +12,59 @@
 	"sandbarrow.example/sandbarrow/access"
 )
 
-// Kind says what may be done with a request of a route.
+// Kind says whether the requests of a route may be retried.
 type Kind string
 
 // The kinds of a route.
 const (
 	// KindSafe requests may run more than once.
 	KindSafe Kind = "safe"
-	// KindStream requests are answered by events.
+	// KindStream requests get a stream of events as response.
 	KindStream Kind = "stream"
 	// KindUnsafe requests run at most once.
 	KindUnsafe Kind = "unsafe"
 )
 
-// ErrInvalid is the error of a table that contradicts itself.
+// ErrInvalid is the error for an inconsistent table.
 const ErrInvalid = errors.ConstError("route: invalid table")
 
-// Target is a service that a share of a route's requests goes to.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service sandbarrow.ServiceID
 	Weight  int
 }
 
-// Route says how the requests under a host and path prefix are handled.
+// Route describes how the requests under a host and path prefix are handled.
 type Route struct {
 	Host string
 	Kind Kind
-	// LongestPause is the longest pause between two events of a stream with which its
-	// answer earns full credit; 0 where none is named.
+	// EventGapTarget is the longest pause between two events of a stream for which its
+	// response earns full credit; 0 if there is no target.
 	LongestPause time.Duration
-	// MaxAttempts is the largest number of upstreams for one request.
+	// MaxAttempts is the largest number of upstreams tried for one request.
 	MaxAttempts int
 	Name        string
-	// Objective is the time within which an answer earns full credit.
+	// Objective is the time within which a response earns full credit.
 	Objective time.Duration
 	Prefix    string
 	// Priority is 0 for the most urgent.
 	Priority int
-	// Public routes serve callers without a key, also where others need one.
+	// Public routes serve callers without a key, even if other routes require one.
 	Public bool
 	// Resumable streams may be continued at another upstream.
 	Resumable bool
 	Targets   []Target
-	// Timeout is the longest time that a request is held.
+	// Timeout bounds the time spent on a request.
 	Timeout time.Duration
 }
 
-// Repeatable reports whether a request may run more than once.
+// Retryable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// Service picks the target for a point from 0 up to 1.
+// Service selects a target by weight and returns its service. point is a number from 0
+// up to, but not including, 1.
 func (r *Route) Service(point float64) sandbarrow.ServiceID {
 	total := 0
 	for _, t := range r.Targets {
@@ -80,20 +80,20 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Model is a base model that the engines of a service may hold.
+// Model is a base model that the engines of a service may load.
 type Model struct {
 	ID sandbarrow.BaseModelID
 }
 
 // Engine describes the engines of a service.
 type Engine struct {
-	// AdapterSlots is the number of adapters that an engine holds at once.
+	// AdapterSlots is the number of adapters that an engine can have loaded at once.
 	AdapterSlots int
-	// MemoryTokens is how many tokens an engine's memory holds, of running requests and
-	// of prompts that it keeps; 0 where that is not known.
+	// KVCacheTokens is the capacity of an engine's KV cache in tokens, for running requests
+	// and cached prompts; 0 if unknown.
 	MemoryTokens int
-	// MovePerToken is the time to move one token of an engine's memory to another
-	// engine; 0 where engines can't do that.
+	// MoveTimePerToken is the time to move one token of an engine's KV cache to another
+	// engine; 0 if the engines can't move them.
 	MovePerToken time.Duration
 	Models       []Model
 }
@@ -116,17 +116,17 @@
 
 // Table is an immutable set of routes and services.
 type Table struct {
-	// Keys are those of the workspaces; nil where callers need none.
+	// Keys are the API keys of the workspaces; nil if callers need none.
 	Keys     *access.Keys
 	Limits   Limits
 	Services map[sandbarrow.ServiceID]*Service
-	// Version is the operators' own number of the table.
+	// Version is the number that the operators gave the table.
 	Version uint64
 
 	hosts map[string][]*Route
 }
 
-// NewTable checks and indexes routes and services.
+// NewTable validates and indexes routes and services.
 func NewTable(version uint64, routes []Route, services []Service, limits Limits) (*Table, error) {
 	t := &Table{
 		Limits:   limits,
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// Match finds the route of a request, or nil. A port in host is ignored.
+// Match returns the route of a request, or nil if there is none. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.hosts[host] {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -9,20 +9,20 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-func table(t *testing.T) *Table {
+func newTestTable(t *testing.T) *Table {
 	t.Helper()
 	to := func(s sandbarrow.ServiceID) []Target { return []Target{{Service: s, Weight: 1}} }
-	made, err := NewTable(3, []Route{
+	created, err := NewTable(3, []Route{
 		{Name: "all", Host: "Example.org", Prefix: "/", Targets: to("s")},
 		{Name: "deep", Host: "example.org", Prefix: "/a/b/", Targets: to("s")},
 		{Name: "shallow", Host: "example.org", Prefix: "/a/", Targets: to("s")},
 		{Name: "other", Host: "other.org", Prefix: "/a/", Targets: to("s")},
 	}, []Service{{ID: "s"}}, Limits{})
 	assert.NilError(t, err)
-	return made
+	return created
 }
 
-func TestMatch(t *testing.T) {
+func TestMatchUsesHostAndLongestPrefix(t *testing.T) {
 	for _, tc := range []struct{ host, path, want string }{
 		{"example.org", "/a/b/c", "deep"},
 		{"EXAMPLE.org:80", "/a/b/", "deep"},
@@ -34,14 +34,14 @@
 		{"", "/a/", ""},
 	} {
 		name := ""
-		if r := table(t).Match(tc.host, tc.path); r != nil {
+		if r := newTestTable(t).Match(tc.host, tc.path); r != nil {
 			name = r.Name
 		}
 		assert.Equal(t, name, tc.want, "%s%s", tc.host, tc.path)
 	}
 }
 
-func TestInvalidTables(t *testing.T) {
+func TestNewTableRejectsInvalidRoutes(t *testing.T) {
 	services := []Service{{ID: "s"}}
 	for name, r := range map[string]Route{
 		"no host":         {Prefix: "/", Targets: []Target{{Service: "s"}}},
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestSplit(t *testing.T) {
+func TestTargetsAreSplitByWeight(t *testing.T) {
 	r := Route{Targets: []Target{{Service: "a", Weight: 90}, {Service: "none", Weight: 0}, {Service: "b", Weight: 10}}}
 	counts := map[sandbarrow.ServiceID]int{}
 	for i := range 100 {
@@ -65,7 +65,7 @@
 	assert.Equal(t, counts["b"], 10)
 }
 
-func TestRepeatable(t *testing.T) {
+func TestOnlySafeAndResumableRoutesAreRetryable(t *testing.T) {
 	for _, tc := range []struct {
 		route Route
 		want  bool
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -7,50 +7,51 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// GiveUp decides which waiting tickets can't meet their deadline any more, removes and
-// returns them: too little time is left to run, or the loads that go before theirs
-// take too long.
+// DropUnmeetable removes and returns the waiting tickets that can no longer meet their
+// deadline. Either too little time is left to run them, or the loads before theirs take
+// too long.
 //
-// Inputs: the deadlines, the measured times of a run and of a load, the pace of loads
-// while others wait, and how overdue the next load is.
+// The decision depends on the deadlines, the measured run and load times, the interval
+// between loads while groups wait, and the delay of the next load.
 func (s *Scheduler) GiveUp(now time.Time) []*Ticket {
-	var hopeless []*Ticket
+	var unmeetable []*Ticket
 	soonest := now.Add(s.runTime(now))
 	for _, g := range s.groups {
 		for _, t := range g.tickets {
 			if soonest.After(t.Deadline) {
-				hopeless = append(hopeless, t)
+				unmeetable = append(unmeetable, t)
 			}
 		}
 	}
 	ready := soonest.Add(s.loadWait(now, 0) + s.overdue(now))
 	for _, g := range s.loadOrder(now) {
-		kept := false
+		meetable := false
 		for _, t := range g.tickets {
 			if soonest.After(t.Deadline) {
 				continue
 			}
 			if ready.After(t.Deadline) {
-				hopeless = append(hopeless, t)
+				unmeetable = append(unmeetable, t)
 			} else {
-				kept = true
+				meetable = true
 			}
 		}
-		if kept {
-			ready = ready.Add(s.loadPace.get(now))
+		if meetable {
+			ready = ready.Add(s.loadInterval.get(now))
 		}
 	}
-	for _, t := range hopeless {
+	for _, t := range unmeetable {
 		s.Remove(t)
 	}
-	return hopeless
+	return unmeetable
 }
 
-// Submit decides whether a ticket is admitted: it queues it, or refuses it at once
-// when it can't meet its deadline, its adapter has just failed to load or the queue is
-// full. The error is a *sandbarrow.Refusal with when to come back.
+// Submit queues a ticket. It refuses the ticket at once if the ticket can't meet its
+// deadline, its adapter has just failed to load or the queue is full. The error is a
+// *sandbarrow.Refusal that says when to retry.
 //
-// Inputs: the tickets that wait and run, and the same measurements as GiveUp.
+// The decision depends on the waiting and running tickets, and on the same measurements
+// as DropUnmeetable.
 func (s *Scheduler) Submit(now time.Time, t *Ticket) error {
 	if s.queued >= s.options.MaxQueued {
 		return sandbarrow.NotRun(sandbarrow.ReasonOverload, "the queue is full", s.expectedWait(now, t))
@@ -65,7 +66,7 @@
 	if left := t.Deadline.Sub(now); wait > left {
 		return sandbarrow.NotRun(sandbarrow.ReasonOverload, "the expected time is over the deadline", wait-left)
 	}
-	s.count(now, t.Model)
+	s.recordDemand(now, t.Model)
 	t.State = TicketWaiting
 	t.Stall = s.options.Slots > 0 && !s.isLoaded(t.Model)
 	g := s.groups[t.Model]
@@ -76,13 +77,13 @@
 	if t.Stall && s.unloadedGroups(nil) == 0 {
 		s.waitingSince = now
 	}
-	at, _ := slices.BinarySearchFunc(g.tickets, t, func(a, b *Ticket) int {
+	index, _ := slices.BinarySearchFunc(g.tickets, t, func(a, b *Ticket) int {
 		if s.options.Order.Less(now, b.waiting(), a.waiting()) {
 			return 1
 		}
 		return -1
 	})
-	g.tickets = slices.Insert(g.tickets, at, t)
+	g.tickets = slices.Insert(g.tickets, index, t)
 	s.queued++
 	return nil
 }
@@ -94,12 +95,12 @@
 	if s.options.Slots > 0 && s.slots[t.Model] == nil {
 		wait += s.loadWait(now, s.unloadedGroups(t)) + s.overdue(now)
 	} else if s.options.Slots > 0 && !s.isLoaded(t.Model) {
-		wait += s.load.get(now)
+		wait += s.loadTime.get(now)
 	}
 	return wait
 }
 
-// loadOrder lists the groups that wait for a load, in the order of their loads.
+// loadOrder returns the groups that wait for a load, in the order of their loads.
 func (s *Scheduler) loadOrder(now time.Time) []*group {
 	var order []*group
 	for model, g := range s.groups {
@@ -108,7 +109,7 @@
 		}
 	}
 	slices.SortFunc(order, func(a, b *group) int {
-		if s.goesBefore(now, a.waiting(groupBonus), b.waiting(groupBonus), a.tickets[0].Model, b.tickets[0].Model) {
+		if s.groupLess(now, a.waiting(groupBonus), b.waiting(groupBonus), a.tickets[0].Model, b.tickets[0].Model) {
 			return -1
 		}
 		return 1
@@ -116,43 +117,44 @@
 	return order
 }
 
-// loadWait is the expected time until a new adapter would be loaded, with
-// ahead loads before it.
+// loadWait returns the expected time until a new adapter is loaded, after the given
+// number of other loads.
 func (s *Scheduler) loadWait(now time.Time, ahead int) time.Duration {
-	wait := s.load.get(now) + s.loadPace.get(now)*time.Duration(ahead)
+	wait := s.loadTime.get(now) + s.loadInterval.get(now)*time.Duration(ahead)
 	if len(s.slots) < s.options.Slots {
 		return wait
 	}
 	for model, sl := range s.slots {
-		if sl.state == slotLoaded && sl.running == 0 && !s.isWanted(model) {
+		if sl.state == slotLoaded && sl.running == 0 && !s.hasWaiting(model) {
 			return wait
 		}
 	}
-	return wait + s.runTime(now)/2 // until one of the busy adapters is idle
+	return wait + s.runTime(now)/2 // until one of the busy adapters becomes idle
 }
 
-// measurePace learns how fast loads end while others wait.
-func (s *Scheduler) measurePace(now time.Time) {
-	if !s.loadedAt.IsZero() {
-		s.loadPace.add(now, now.Sub(s.loadedAt))
+// measureLoadInterval measures the time between the ends of two loads, if other groups
+// were waiting for a load in between.
+func (s *Scheduler) measureLoadInterval(now time.Time) {
+	if !s.lastLoadEnd.IsZero() {
+		s.loadInterval.add(now, now.Sub(s.lastLoadEnd))
 	}
-	s.loadedAt, s.waitingSince = time.Time{}, now
+	s.lastLoadEnd, s.waitingSince = time.Time{}, now
 	if s.unloadedGroups(nil) > 0 {
-		s.loadedAt = now
+		s.lastLoadEnd = now
 	}
 }
 
-// overdue is by how much the next load is later than expected while groups
-// wait. As nothing is known of what holds it up, as much is expected again.
+// overdue returns by how much the next load exceeds its expected time while groups
+// wait. The cause of the delay is unknown, so callers expect the same delay again.
 func (s *Scheduler) overdue(now time.Time) time.Duration {
 	if s.unloadedGroups(nil) == 0 {
 		return 0
 	}
-	return max(0, now.Sub(s.waitingSince)-s.load.get(now))
+	return max(0, now.Sub(s.waitingSince)-s.loadTime.get(now))
 }
 
-// unloadedGroups counts the groups that wait for a load, or those of them that
-// go before t.
+// unloadedGroups counts the groups that wait for a load. If t is not nil, it counts only
+// those that go before t.
 func (s *Scheduler) unloadedGroups(t *Ticket) int {
 	n := 0
 	for model, g := range s.groups {
@@ -166,12 +168,12 @@
 	return n
 }
 
-// runTime is the mean time of a run: the measured one, or the mean age of what
-// runs now if that is more. A run that is cut at its deadline is wasted.
+// runTime returns the mean time of a run: the measured mean, or the mean age of the
+// current runs if that is higher. A run that is cut off at its deadline is wasted work.
 func (s *Scheduler) runTime(now time.Time) time.Duration {
 	if s.running == 0 {
-		return s.service.get(now)
+		return s.serviceTime.get(now)
 	}
-	age := now.Sub(s.epoch) - s.startSum/time.Duration(s.running)
-	return max(s.service.get(now), age)
+	age := now.Sub(s.epoch) - s.startOffsetSum/time.Duration(s.running)
+	return max(s.serviceTime.get(now), age)
 }
--- a/schedule/demand.go
+++ b/schedule/demand.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// demandHalfLife is the half-life of an adapter's demand. Half-lives from 40 to
-	// 900 s were tried: longer ones save a few hundredths of the stalls and take up to
-	// 260 s to recover from a shift of popularity (docs/design/placement.md).
+	// demandHalfLife is the half-life of an adapter's demand. Among half-lives from 40 to
+	// 900 s, longer ones avoid a few hundredths of the stalls, but take up to 260 s to
+	// recover from a shift in popularity (docs/design/placement.md).
 	demandHalfLife = 120 * time.Second
-	// maxDemands bounds the adapters whose demand is remembered.
+	// maxDemands bounds the number of adapters whose demand is stored.
 	maxDemands = 4096
 )
 
-// demand is a decayed rate of requests.
+// demand is an exponentially decayed rate of requests.
 type demand struct {
 	at time.Time
-	// rate is in requests a second.
+	// rate is the rate at that time, in requests per second.
 	rate float64
 }
 
@@ -31,24 +31,24 @@
 	d.at = now
 }
 
-// value is the rate at a time, in requests a second.
+// value returns the rate at the given time, in requests per second.
 func (d *demand) value(now time.Time) float64 {
 	return d.rate * decay.Factor(now.Sub(d.at), demandHalfLife)
 }
 
-// count adds one request to a model's demand.
-func (s *Scheduler) count(now time.Time, model sandbarrow.ModelRef) {
+// recordDemand adds one request to a model's demand.
+func (s *Scheduler) recordDemand(now time.Time, model sandbarrow.ModelRef) {
 	d := s.demands[model]
 	if d == nil {
-		s.forgetDemands(now)
+		s.trimDemands(now)
 		d = &demand{at: now}
 		s.demands[model] = d
 	}
 	d.add(now)
 }
 
-// forgetDemands drops the lowest half when there are too many.
-func (s *Scheduler) forgetDemands(now time.Time) {
+// trimDemands deletes the lower half of the demands when there are too many.
+func (s *Scheduler) trimDemands(now time.Time) {
 	if len(s.demands) < maxDemands {
 		return
 	}
--- a/schedule/estimate.go
+++ b/schedule/estimate.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// estimateHalfLife is how fast an estimate that gets no measurements falls back to what is assumed.
-// Without it a high estimate would refuse the very requests that could show that it is out of date
-// (docs/design/queueing.md).
+// estimateHalfLife is the half-life with which a high estimate falls back to its initial
+// value while there are no measurements. Without this decay, a high estimate would refuse
+// the very requests that could show that it is out of date (docs/design/queueing.md).
 const estimateHalfLife = 10 * time.Second
 
-// estimate is a smoothed measurement of a time.
+// estimate is an exponentially smoothed measurement of a duration.
 type estimate struct {
-	assumed time.Duration
+	initial time.Duration
 	at      time.Time
 	value   time.Duration
 	weight  float64
 }
 
-func newEstimate(assumed time.Duration, weight float64) estimate {
-	return estimate{assumed: assumed, value: assumed, weight: weight}
+func newEstimate(initial time.Duration, weight float64) estimate {
+	return estimate{initial: initial, value: initial, weight: weight}
 }
 
 // add counts one measurement.
@@ -29,11 +29,11 @@
 	e.at = now
 }
 
-// get is the estimate now.
+// get returns the current estimate.
 func (e *estimate) get(now time.Time) time.Duration {
-	if e.value <= e.assumed {
+	if e.value <= e.initial {
 		return e.value
 	}
 	left := math.Exp2(-float64(now.Sub(e.at)) / float64(estimateHalfLife))
-	return e.assumed + time.Duration(float64(e.value-e.assumed)*left)
+	return e.initial + time.Duration(float64(e.value-e.initial)*left)
 }
--- a/schedule/orders.go
+++ b/schedule/orders.go
@@ -7,17 +7,18 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// BeginOrder begins an order that NextOrder gave: its victim is unloading and
-// its model loading from now on.
+// BeginOrder records the start of an order that NextOrder returned: its victim is
+// unloading and its model is loading from now on.
 func (s *Scheduler) BeginOrder(now time.Time, o Order) {
 	if v := s.slots[o.Evict]; v != nil {
 		v.state = slotUnloading
 	}
-	s.slots[o.Model] = &slot{model: o.Model, state: slotLoading, started: now}
+	s.slots[o.Model] = &slot{model: o.Model, state: slotLoading, loadStarted: now}
 }
 
-// EvictDone ends the unload of an order. On failure the adapter stays loaded, unless the
-// engine has started anew: then it is gone until the engine lists it.
+// EvictDone records the result of an order's unload. After a failure the adapter stays
+// loaded, unless the engine has restarted: then it counts as unloaded until the engine
+// lists it.
 func (s *Scheduler) EvictDone(o Order, ok bool) {
 	v := s.slots[o.Evict]
 	switch {
@@ -29,9 +30,10 @@
 	}
 }
 
-// LoadDone ends the load of an order. It returns the tickets that gave up
-// because the load failed. A load for an earlier start of the engine loads nothing at
-// this one; its failure counts all the same, since it may be why the engine restarted.
+// LoadDone records the result of an order's load. After a failure it removes and returns
+// the tickets that waited for the load. A load ordered before a restart of the engine
+// leaves nothing loaded after it. Its failure still counts, because the load may be why
+// the engine restarted.
 func (s *Scheduler) LoadDone(now time.Time, o Order, ok bool) []*Ticket {
 	sl := s.slots[o.Model]
 	if sl == nil || sl.state != slotLoading {
@@ -43,8 +45,8 @@
 	}
 	if ok {
 		sl.state, sl.loadedAt, sl.lastUsed = slotLoaded, now, now
-		s.load.add(now, now.Sub(sl.started))
-		s.measurePace(now)
+		s.loadTime.add(now, now.Sub(sl.loadStarted))
+		s.measureLoadInterval(now)
 		return nil
 	}
 	delete(s.slots, o.Model)
@@ -60,11 +62,11 @@
 	return failed
 }
 
-// NextOrder decides which load begins next, and which adapter gives up its slot for
-// it; false where none can begin. The group whose first request is most urgent and
-// oldest goes first, where each further request counts as groupBonus of age. Without
-// mayEvict it gives loads into free slots alone. A group that has waited for drainAfter
-// while all adapters are busy gets one of them drained.
+// NextOrder decides which adapter is loaded next and which one is evicted for it. It
+// returns false if no load can begin. The group whose first request is most urgent and
+// oldest goes first; each further request adds groupBonus to its age. Without mayEvict,
+// it returns only loads into free slots. If a group has waited for drainAfter while all
+// adapters are busy, one of them is drained for it.
 func (s *Scheduler) NextOrder(now time.Time, mayEvict bool) (Order, bool) {
 	best := s.bestGroup(now, groupBonus, func(model sandbarrow.ModelRef, g *group) bool {
 		return s.slots[model] == nil && !now.Before(g.failedUntil) && !s.awaitsBatch(now, g)
@@ -72,7 +74,7 @@
 	if best == nil {
 		return Order{}, false
 	}
-	o := Order{Model: best.Model, Weights: best.Weights, start: s.start}
+	o := Order{Model: best.Model, Weights: best.Weights, engineStart: s.engineStart}
 	if len(s.slots) < s.options.Slots {
 		return o, true
 	}
@@ -88,8 +90,8 @@
 	return o, ok
 }
 
-// Postpone makes an order's model wait, with its tickets, before it is
-// ordered again; the weight store pushed back.
+// Postpone cancels an order that the weight store rejected. The load is not ordered
+// again before the given time; its tickets stay in the queue.
 func (s *Scheduler) Postpone(until time.Time, o Order) {
 	delete(s.slots, o.Model)
 	if g := s.groups[o.Model]; g != nil {
@@ -97,40 +99,40 @@
 	}
 }
 
-// choose asks the evictor among the views.
-func (s *Scheduler) choose(now time.Time, wanted sandbarrow.ModelRef) (sandbarrow.ModelRef, bool) {
-	if len(s.views) == 0 {
+// chooseVictim lets the evictor choose one of the candidates.
+func (s *Scheduler) chooseVictim(now time.Time, pending sandbarrow.ModelRef) (sandbarrow.ModelRef, bool) {
+	if len(s.candidates) == 0 {
 		return sandbarrow.ModelRef{}, false
 	}
-	slices.SortFunc(s.views, func(a, b sandbarrow.SlotView) int { return compareModels(a.Model, b.Model) })
-	i, ok := s.options.Evictor.Evict(now, s.view(now, &slot{model: wanted, lastUsed: now}), s.views)
+	slices.SortFunc(s.candidates, func(a, b sandbarrow.SlotView) int { return compareModels(a.Model, b.Model) })
+	i, ok := s.options.Evictor.Evict(now, s.view(now, &slot{model: pending, lastUsed: now}), s.candidates)
 	if !ok {
 		return sandbarrow.ModelRef{}, false
 	}
-	return s.views[i].Model, true
+	return s.candidates[i].Model, true
 }
 
-// drainOne lets no new request start on the busy adapter that costs least, so
-// that its slot becomes free. One slot is drained at a time.
-func (s *Scheduler) drainOne(now time.Time, wanted sandbarrow.ModelRef) {
-	s.views = s.views[:0]
+// drainOne stops new requests from starting on the busy adapter that is cheapest to
+// evict. Its slot becomes free when its runs end. One slot is drained at a time.
+func (s *Scheduler) drainOne(now time.Time, pending sandbarrow.ModelRef) {
+	s.candidates = s.candidates[:0]
 	for _, sl := range s.slots {
 		if sl.state == slotDraining {
 			return
 		}
 		if sl.state == slotLoaded {
-			s.views = append(s.views, s.view(now, sl))
+			s.candidates = append(s.candidates, s.view(now, sl))
 		}
 	}
-	if model, ok := s.choose(now, wanted); ok {
+	if model, ok := s.chooseVictim(now, pending); ok {
 		s.slots[model].state = slotDraining
 		s.draining = model
 	}
 }
 
-// awaitsBatch reports whether a small group waits for its batch.
+// awaitsBatch reports whether a small group still waits for further tickets before its load.
 func (s *Scheduler) awaitsBatch(now time.Time, g *group) bool {
-	if s.options.BatchWait == 0 || len(g.tickets) >= batchTarget || g.exempt() {
+	if s.options.BatchWait == 0 || len(g.tickets) >= batchTarget || g.skipsBatchWait() {
 		return false
 	}
 	oldest := g.tickets[0].Arrived
@@ -142,12 +144,12 @@
 	return now.Sub(oldest) < s.options.BatchWait
 }
 
-func (s *Scheduler) isWanted(model sandbarrow.ModelRef) bool {
+func (s *Scheduler) hasWaiting(model sandbarrow.ModelRef) bool {
 	g := s.groups[model]
 	return g != nil && len(g.tickets) > 0
 }
 
-// undrain gives a drained adapter back to its requests.
+// undrain lets new requests start on the drained adapter again.
 func (s *Scheduler) undrain() {
 	if sl := s.slots[s.draining]; sl != nil && sl.state == slotDraining {
 		sl.state = slotLoaded
@@ -155,22 +157,22 @@
 	s.draining = sandbarrow.ModelRef{}
 }
 
-// victim asks the evictor among the adapters that nobody uses or waits for. A
-// drained one goes first.
-func (s *Scheduler) victim(now time.Time, wanted sandbarrow.ModelRef) (sandbarrow.ModelRef, bool) {
-	s.views = s.views[:0]
+// victim chooses an adapter to evict among those with no running or waiting requests.
+// A drained adapter is evicted first.
+func (s *Scheduler) victim(now time.Time, pending sandbarrow.ModelRef) (sandbarrow.ModelRef, bool) {
+	s.candidates = s.candidates[:0]
 	for model, sl := range s.slots {
-		if sl.running > 0 || now.Before(sl.keepUntil) {
+		if sl.running > 0 || now.Before(sl.protectedUntil) {
 			continue
 		}
 		if sl.state == slotDraining {
 			return model, true
 		}
-		if sl.state == slotLoaded && !s.isWanted(model) {
-			s.views = append(s.views, s.view(now, sl))
+		if sl.state == slotLoaded && !s.hasWaiting(model) {
+			s.candidates = append(s.candidates, s.view(now, sl))
 		}
 	}
-	return s.choose(now, wanted)
+	return s.chooseVictim(now, pending)
 }
 
 func (s *Scheduler) view(now time.Time, sl *slot) sandbarrow.SlotView {
--- a/schedule/replay_test.go
+++ b/schedule/replay_test.go
@@ -14,17 +14,17 @@
 
 const (
 	maxAttempts = 3
-	// reportPause is the lag with which upstreams report their load.
-	reportPause = 500 * time.Millisecond
-	// tick is how often a runner looks at what time alone changes.
+	// reportInterval is how often upstreams report their load.
+	reportInterval = 500 * time.Millisecond
+	// tick is how often a runner checks deadlines and other conditions that depend on time alone.
 	tick = 20 * time.Millisecond
 )
 
-// event is something that happens at a time of the replay.
+// event is a function to be run at a virtual time of the replay.
 type event struct {
 	at time.Time
 	do func(now time.Time)
-	// sequence keeps events of one time in the order in which they were made.
+	// sequence orders events of the same time by their creation.
 	sequence int
 }
 
@@ -46,22 +46,22 @@
 	return last
 }
 
-// fleetReplay drives the decisions of a fleet of agents with a trace of
-// requests, in virtual time, against small models of engines and of the weight
-// store. It models no network and no failing processes.
+// fleetReplay replays a trace of requests against the decisions of a fleet of agents, in
+// virtual time, with simple models of the engines and the weight store. It models neither
+// the network nor process failures.
 type fleetReplay struct {
-	chooser sandbarrow.Chooser
-	estate  *workload.Estate
-	events  eventHeap
-	fleet   *placement.Fleet
-	made    int
-	result  *replayResult
-	runners []*runner
-	start   time.Time
-	weights weightStore
+	chooser    sandbarrow.Chooser
+	estate     *workload.Estate
+	events     eventHeap
+	fleet      *placement.Fleet
+	eventCount int
+	result     *replayResult
+	runners    []*runner
+	start      time.Time
+	weights    weightStore
 }
 
-// replay replays a trace with the decisions of agents and entries.
+// replay replays a trace through the decisions of agents and entries.
 func replay(e *workload.Estate, trace []workload.Request) *replayResult {
 	fleet := placement.NewFleet()
 	r := &fleetReplay{
@@ -88,25 +88,25 @@
 }
 
 func (r *fleetReplay) at(t time.Time, do func(time.Time)) {
-	r.made++
-	heap.Push(&r.events, event{at: t, do: do, sequence: r.made})
+	r.eventCount++
+	heap.Push(&r.events, event{at: t, do: do, sequence: r.eventCount})
 }
 
 // arrive sends a request to its first upstream.
 func (r *fleetReplay) arrive(now time.Time, q *workload.Request) {
-	r.send(now, &flight{
+	r.send(now, &inflightRequest{
 		arrived: now,
 		model:   sandbarrow.ModelRef{Adapter: q.Adapter, Version: "v1"},
 		request: q,
 	})
 }
 
-// flight is one request on its way.
-type flight struct {
+// inflightRequest is a request that has not ended.
+type inflightRequest struct {
 	arrived  time.Time
 	attempts int
 	exclude  sandbarrow.IndexSet
-	left     int // tokens to be made
+	left     int // tokens still to be generated
 	model    sandbarrow.ModelRef
 	request  *workload.Request
 	stall    bool
@@ -114,7 +114,7 @@
 	ticket   *schedule.Ticket
 }
 
-func (r *fleetReplay) send(now time.Time, f *flight) {
+func (r *fleetReplay) send(now time.Time, f *inflightRequest) {
 	route := &sandbarrow.RouteRequest{
 		BaseModel:   f.request.BaseModel,
 		BatchWeight: r.estate.BatchWeight,
@@ -136,7 +136,7 @@
 	r.result.refuse(now, f)
 }
 
-// weightStore is the model of the rate-limited store of weights.
+// weightStore models the rate-limited weight store.
 type weightStore struct {
 	active   int
 	load     time.Duration
@@ -152,7 +152,7 @@
 	}
 }
 
-// begin takes a load; more than the parallel ones slow down.
+// begin starts a load. It takes longer if more loads than parallel are in progress.
 func (w *weightStore) begin(now time.Time) (time.Duration, bool) {
 	if !w.limit.AllowN(now, 1) {
 		return 0, false
--- a/schedule/replayresult_test.go
+++ b/schedule/replayresult_test.go
@@ -8,10 +8,10 @@
 	"sandbarrow.example/sandbarrow/workload"
 )
 
-// warmup is left out of the measurements: the first loads of all slots.
+// warmup is excluded from the measurements, as all slots are loaded for the first time.
 const warmup = 2 * time.Minute
 
-// replayResult is what a replay measured. Its times are sorted at the end.
+// replayResult holds the measurements of a replay. Its times are sorted at the end.
 type replayResult struct {
 	all        int
 	ended      int
@@ -19,9 +19,9 @@
 	refused    int
 	refusedBy  map[sandbarrow.CallerClass]int
 	requestsBy map[sandbarrow.CallerClass]int
-	// stalls counts requests whose adapter was not loaded when they came.
+	// stalls counts requests whose adapter was not loaded when they arrived.
 	stalls int
-	// stallTime is the time that they waited for it, in all.
+	// stallTime is the total time that requests waited for their adapter to load.
 	stallTime time.Duration
 	// waits are the times from arrival to start.
 	waits   []time.Duration
@@ -44,7 +44,7 @@
 }
 
 // begin counts a request that starts to run for the first time.
-func (r *replayResult) begin(now time.Time, f *flight) {
+func (r *replayResult) begin(now time.Time, f *inflightRequest) {
 	if f.request.At < warmup {
 		return
 	}
@@ -56,7 +56,7 @@
 	r.countStall(f)
 }
 
-func (r *replayResult) countStall(f *flight) {
+func (r *replayResult) countStall(f *inflightRequest) {
 	if f.stall {
 		r.stalls++
 	}
@@ -64,10 +64,10 @@
 
 func (r *replayResult) end() { r.ended++ }
 
-// open reports whether requests of the trace have not ended yet.
+// open reports whether any request of the trace has not ended yet.
 func (r *replayResult) open() bool { return r.ended < r.all }
 
-func (r *replayResult) refuse(now time.Time, f *flight) {
+func (r *replayResult) refuse(now time.Time, f *inflightRequest) {
 	r.ended++
 	if f.request.At < warmup {
 		return
@@ -78,7 +78,7 @@
 	r.countStall(f)
 }
 
-// refusedShare is the refused share of a class's requests.
+// refusedShare returns the share of a class's requests that were refused.
 func (r *replayResult) refusedShare(class sandbarrow.CallerClass) float64 {
 	return float64(r.refusedBy[class]) / float64(max(1, r.requestsBy[class]))
 }
--- a/schedule/replayrunner_test.go
+++ b/schedule/replayrunner_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// agingStep is the agents' value.
+	// agingStep is the value that agents use.
 	agingStep = 5 * time.Second
-	// maxQueued bounds the waiting requests of a runner, as at an agent.
+	// maxQueued bounds the waiting requests of a runner, with the value that agents use.
 	maxQueued = 4096
 )
 
-// runner is a model engine with the decisions of its agent.
+// runner models an engine that follows the decisions of its agent.
 type runner struct {
 	budget    sandbarrow.LoadBudget
-	flights   map[*schedule.Ticket]*flight
+	inflight  map[*schedule.Ticket]*inflightRequest
 	index     int
 	replay    *fleetReplay
 	retryAt   time.Time
-	running   []*flight
+	running   []*inflightRequest
 	scheduler *schedule.Scheduler
 	stepping  bool
 }
@@ -34,9 +34,9 @@
 func newRunner(r *fleetReplay, i int) *runner {
 	e := r.estate
 	u := &runner{
-		budget:  loadbudget.NewBackoff(e.LoadsPerSecond, e.ParallelLoads),
-		flights: map[*schedule.Ticket]*flight{},
-		replay:  r,
+		budget:   loadbudget.NewBackoff(e.LoadsPerSecond, e.ParallelLoads),
+		inflight: map[*schedule.Ticket]*inflightRequest{},
+		replay:   r,
 		scheduler: schedule.New(schedule.Options{
 			Evictor:    evict.NewCost(),
 			MaxQueued:  maxQueued,
@@ -52,20 +52,20 @@
 		MaxRunning:    e.MaxRunning,
 	})
 	// Runners report and tick at staggered times, as separate boxes do.
-	offset := time.Duration(i) * reportPause / time.Duration(e.Runners)
-	u.every(r.start.Add(offset), reportPause, u.report)
-	u.every(r.start.Add(offset%tick), tick, u.pump)
+	offset := time.Duration(i) * reportInterval / time.Duration(e.Runners)
+	u.every(r.start.Add(offset), reportInterval, u.report)
+	u.every(r.start.Add(offset%tick), tick, u.advance)
 	return u
 }
 
-func (u *runner) every(at time.Time, pause time.Duration, do func(time.Time)) {
+func (u *runner) every(at time.Time, interval time.Duration, do func(time.Time)) {
 	u.replay.at(at, func(now time.Time) {
 		do(now)
-		u.every(now.Add(pause), pause, do)
+		u.every(now.Add(interval), interval, do)
 	})
 }
 
-// report gives the fleet what an agent's status holds.
+// report updates the fleet as an agent's status does.
 func (u *runner) report(now time.Time) {
 	st := u.scheduler.Stats(now)
 	u.replay.fleet.SetLoad(u.index, placement.Load{LoadTime: st.LoadWait, Queued: st.Queued, Running: st.Running, ServiceTime: st.Service})
@@ -78,7 +78,7 @@
 }
 
 // submit queues a request, or returns false when the scheduler refuses it.
-func (u *runner) submit(now time.Time, f *flight) bool {
+func (u *runner) submit(now time.Time, f *inflightRequest) bool {
 	f.ticket = &schedule.Ticket{
 		Arrived:     now,
 		Deadline:    f.arrived.Add(u.replay.estate.Deadline),
@@ -91,26 +91,26 @@
 	}
 	f.left = f.request.Tokens
 	f.stall = f.stall || f.ticket.Stall
-	u.flights[f.ticket] = f
+	u.inflight[f.ticket] = f
 	u.replay.fleet.Begin(u.index)
-	u.pump(now)
+	u.advance(now)
 	return true
 }
 
-// drop forgets a request that ended or failed here.
-func (u *runner) drop(f *flight) {
-	delete(u.flights, f.ticket)
+// drop removes a request that ended or failed at this runner.
+func (u *runner) drop(f *inflightRequest) {
+	delete(u.inflight, f.ticket)
 	u.replay.fleet.End(u.index)
 }
 
-func (u *runner) pump(now time.Time) {
+func (u *runner) advance(now time.Time) {
 	for _, t := range u.scheduler.GiveUp(now) {
-		f := u.flights[t]
+		f := u.inflight[t]
 		u.drop(f)
 		u.replay.result.refuse(now, f)
 	}
 	for t := u.scheduler.NextStart(now); t != nil; t = u.scheduler.NextStart(now) {
-		f := u.flights[t]
+		f := u.inflight[t]
 		f.stalled += t.Stalled
 		u.running = append(u.running, f)
 		u.replay.result.begin(now, f)
@@ -119,29 +119,29 @@
 		u.stepping = true
 		u.replay.at(now.Add(u.replay.estate.Step), u.step)
 	}
-	u.order(now)
+	u.startLoads(now)
 }
 
-// step gives each running request a token.
+// step generates one token for each running request.
 func (u *runner) step(now time.Time) {
 	u.stepping = false
-	kept := u.running[:0]
+	unfinished := u.running[:0]
 	for _, f := range u.running {
 		f.left--
 		if f.left > 0 {
-			kept = append(kept, f)
+			unfinished = append(unfinished, f)
 			continue
 		}
 		u.scheduler.Finish(now, f.ticket)
 		u.drop(f)
 		u.replay.result.end()
 	}
-	u.running = kept
-	u.pump(now)
+	u.running = unfinished
+	u.advance(now)
 }
 
-// order begins the loads that the budget permits.
-func (u *runner) order(now time.Time) {
+// startLoads starts the loads that the budget permits.
+func (u *runner) startLoads(now time.Time) {
 	for !now.Before(u.retryAt) {
 		o, ok := u.scheduler.NextOrder(now, true)
 		if !ok {
@@ -160,16 +160,16 @@
 
 func (u *runner) load(now time.Time, o schedule.Order) {
 	r := u.replay
-	took, ok := r.weights.begin(now)
+	duration, ok := r.weights.begin(now)
 	if !ok {
 		u.budget.Release(now, true)
 		u.scheduler.Postpone(now, o)
 		return
 	}
-	r.at(now.Add(took), func(now time.Time) {
+	r.at(now.Add(duration), func(now time.Time) {
 		r.weights.end()
 		u.budget.Release(now, false)
 		u.scheduler.LoadDone(now, o, true)
-		u.pump(now)
+		u.advance(now)
 	})
 }
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -9,140 +9,143 @@
 )
 
 const (
-	// batchTarget is the size of a group that ends its wait for a batch.
+	// batchTarget is the group size at which a group stops waiting for a batch.
 	batchTarget = 4
-	// defaultLoad, defaultPace and defaultService are assumed until some are seen. Pace and service
-	// are assumed fast: a cold start must not refuse a burst.
-	defaultLoad    = time.Second
-	defaultPace    = 100 * time.Millisecond
-	defaultService = 100 * time.Millisecond
-	// groupBonus is what each further ticket of a group is worth when loads are ordered:
-	// one load serves them all (docs/design/loads.md).
+	// defaultLoadTime, defaultLoadInterval and defaultServiceTime are the initial
+	// estimates. The last two are low: a cold start must not refuse a burst.
+	defaultLoadTime     = time.Second
+	defaultLoadInterval = 100 * time.Millisecond
+	defaultServiceTime  = 100 * time.Millisecond
+	// groupBonus is added to a group's age for each further ticket when loads are ordered,
+	// because one load serves them all (docs/design/loads.md).
 	groupBonus = time.Second
-	// loadRetryPause is the pause after a failed load of an adapter.
+	// loadRetryPause is the delay before a failed load of an adapter is retried.
 	loadRetryPause = 2 * time.Second
-	// drainAfter is how long a group waits for an idle adapter to make place before a busy
-	// one is drained for it (docs/design/loads.md).
+	// drainAfter is how long a group waits for an adapter to become idle before a busy one
+	// is drained for it (docs/design/loads.md).
 	drainAfter = time.Second
-	// loadSmoothing and serviceSmoothing are the weights of a new measurement, from 0 to 1.
+	// loadSmoothing and serviceSmoothing are the weights of a new measurement in the
+	// estimates, from 0 to 1.
 	loadSmoothing    = 0.3
 	serviceSmoothing = 0.1
 )
 
-// Options describe an upstream and the rules for it.
+// Options describe an upstream and its scheduling rules.
 type Options struct {
-	// BatchWait is the longest wait of a small group for a load; 0 is none.
+	// BatchWait is how long a small group waits at most for further tickets before its
+	// load; 0 disables the wait.
 	BatchWait time.Duration
 	Evictor   sandbarrow.Evictor
-	// MaxQueued bounds the waiting tickets.
+	// MaxQueued bounds the number of waiting tickets.
 	MaxQueued  int
 	MaxRunning int
 	Order      sandbarrow.QueueOrder
-	// Slots is 0 for plain services, which need no adapter.
+	// Slots is the number of adapter slots; 0 for plain services, which need no adapter.
 	Slots int
 }
 
-// Order is a load to be made, and the adapter that gives up its slot for it.
+// Order is an adapter to load, and the adapter to evict for it.
 type Order struct {
-	// Evict is zero when a slot is free.
+	// Evict is zero if a slot is free.
 	Evict   sandbarrow.ModelRef
 	Model   sandbarrow.ModelRef
 	Weights string
-	// start is the engine's start for which the order was decided.
-	start int
+	// engineStart is the engine's start for which the order was decided.
+	engineStart int
 }
 
 // Stats are measurements of one scheduler.
 type Stats struct {
-	// Load is the time of one load.
+	// LoadTime is the expected time of one load.
 	Load time.Duration
-	// LoadWait is the expected time until a new adapter would be loaded.
+	// LoadWait is the expected time until a newly requested adapter is loaded.
 	LoadWait time.Duration
 	Queued   int
 	Running  int
 	Service  time.Duration
 }
 
-// Scheduler decides for one upstream: admission.go who is admitted and who is given
-// up, orders.go what is loaded and evicted, NextStart who runs. It is not safe for
-// concurrent use.
+// Scheduler makes the decisions for one upstream. admission.go decides which tickets are
+// admitted and which are dropped, orders.go which adapters are loaded and evicted, and
+// NextStart which ticket runs next. It is not safe for concurrent use.
 type Scheduler struct {
 	demands map[sandbarrow.ModelRef]*demand
-	// draining is the model that was drained last, zero if it was given back.
+	// draining is the model that was drained last; zero after undrain.
 	draining sandbarrow.ModelRef
 	// epoch is when the first run started.
-	epoch  time.Time
-	groups map[sandbarrow.ModelRef]*group
-	load   estimate
-	// loadPace is the mean time between two loads while others wait.
-	loadPace estimate
-	// loadedAt is when the last load ended, if others waited for theirs then.
-	loadedAt time.Time
-	options  Options
-	queued   int
-	running  int
-	service  estimate
-	slots    map[sandbarrow.ModelRef]*slot
-	// start counts the engine's starts; what is loaded belongs to one of them.
-	start int
-	// startSum adds up when the runs in progress started, since the epoch.
-	startSum time.Duration
-	views    []sandbarrow.SlotView
-	// waitingSince is when the last load ended, or since when a group waits.
+	epoch    time.Time
+	groups   map[sandbarrow.ModelRef]*group
+	loadTime estimate
+	// loadInterval is the mean time between the ends of two loads while other groups wait.
+	loadInterval estimate
+	// lastLoadEnd is when the last load ended; zero if no other group waited for a load then.
+	lastLoadEnd time.Time
+	options     Options
+	queued      int
+	running     int
+	serviceTime estimate
+	slots       map[sandbarrow.ModelRef]*slot
+	// engineStart is the number of the engine's current start. Loaded adapters belong to it.
+	engineStart int
+	// startOffsetSum is the sum of the start times of the current runs, relative to epoch.
+	startOffsetSum time.Duration
+	candidates     []sandbarrow.SlotView
+	// waitingSince is when the last load ended or when the first group began to wait for a
+	// load, whichever is later.
 	waitingSince time.Time
 }
 
-// New returns a scheduler for an empty upstream.
+// New returns a scheduler for an upstream with no requests and no loaded adapters.
 func New(o Options) *Scheduler {
 	return &Scheduler{
-		demands:  map[sandbarrow.ModelRef]*demand{},
-		groups:   map[sandbarrow.ModelRef]*group{},
-		load:     newEstimate(defaultLoad, loadSmoothing),
-		loadPace: newEstimate(defaultPace, loadSmoothing),
-		options:  o,
-		service:  newEstimate(defaultService, serviceSmoothing),
-		slots:    map[sandbarrow.ModelRef]*slot{},
+		demands:      map[sandbarrow.ModelRef]*demand{},
+		groups:       map[sandbarrow.ModelRef]*group{},
+		loadTime:     newEstimate(defaultLoadTime, loadSmoothing),
+		loadInterval: newEstimate(defaultLoadInterval, loadSmoothing),
+		options:      o,
+		serviceTime:  newEstimate(defaultServiceTime, serviceSmoothing),
+		slots:        map[sandbarrow.ModelRef]*slot{},
 	}
 }
 
-// Adopt counts a model as loaded that the engine holds and that was not known.
+// Adopt records a model as loaded that the engine lists and the scheduler did not.
 func (s *Scheduler) Adopt(now time.Time, model sandbarrow.ModelRef) {
 	if s.slots[model] == nil {
 		s.slots[model] = &slot{model: model, loadedAt: now, lastUsed: now}
 	}
 }
 
-// Finish ends a running ticket.
+// Finish ends a running ticket and measures its service time.
 func (s *Scheduler) Finish(now time.Time, t *Ticket) {
 	if t.State != TicketRunning {
 		return
 	}
-	t.State = TicketEnded
+	t.State = TicketDone
 	s.running--
-	s.startSum -= t.Started.Sub(s.epoch)
-	s.service.add(now, now.Sub(t.Started))
+	s.startOffsetSum -= t.Started.Sub(s.epoch)
+	s.serviceTime.add(now, now.Sub(t.Started))
 	if t.slot != nil {
 		t.slot.running--
 		t.slot.lastUsed = now
 	}
 }
 
-// Forget drops a model that the engine does not hold after all.
+// Forget removes a model that the engine turned out not to have loaded.
 func (s *Scheduler) Forget(model sandbarrow.ModelRef) {
-	if sl := s.slots[model]; sl != nil && sl.isHeld() {
+	if sl := s.slots[model]; sl != nil && sl.isResident() {
 		delete(s.slots, model)
 	}
 }
 
-// Keep protects a loaded model from unloading until a time.
+// Protect keeps a loaded model from being evicted until the given time.
 func (s *Scheduler) Keep(model sandbarrow.ModelRef, until time.Time) {
-	if sl := s.slots[model]; sl != nil && sl.keepUntil.Before(until) {
-		sl.keepUntil = until
+	if sl := s.slots[model]; sl != nil && sl.protectedUntil.Before(until) {
+		sl.protectedUntil = until
 	}
 }
 
-// NextStart decides which ticket starts next, the most urgent and oldest whose adapter
-// is loaded, and moves it to running; nil where none can start.
+// NextStart moves the next ticket to running and returns it: the most urgent and oldest
+// one whose adapter is loaded. It returns nil if none can start.
 func (s *Scheduler) NextStart(now time.Time) *Ticket {
 	if !s.draining.IsZero() && s.unloadedGroups(nil) == 0 {
 		s.undrain()
@@ -163,7 +166,7 @@
 		s.epoch = now
 	}
 	s.running++
-	s.startSum += now.Sub(s.epoch)
+	s.startOffsetSum += now.Sub(s.epoch)
 	if sl := s.slots[t.Model]; sl != nil {
 		sl.running++
 		sl.lastUsed = now
@@ -175,12 +178,12 @@
 	return t
 }
 
-// Remove takes a waiting ticket out; it reports whether it was waiting.
+// Remove removes a ticket from the queue and reports whether it was waiting.
 func (s *Scheduler) Remove(t *Ticket) bool {
 	if t.State != TicketWaiting {
 		return false
 	}
-	t.State = TicketEnded
+	t.State = TicketDone
 	g := s.groups[t.Model]
 	g.tickets = slices.DeleteFunc(g.tickets, func(o *Ticket) bool { return o == t })
 	if len(g.tickets) == 0 {
@@ -190,28 +193,29 @@
 	return true
 }
 
-// Reset replaces what is loaded as far as known, after a start of the agent or of the
-// engine. keepUntil protects what a previous agent may be running. An order under way
-// keeps its place, as it may yet reach the new start; its end counts for the old one.
-func (s *Scheduler) Reset(now time.Time, loaded []sandbarrow.ModelRef, keepUntil time.Time) {
-	s.start++
+// Reset replaces the known set of loaded adapters after a start of the agent or of the
+// engine. Adapters on which requests of a previous agent may still run are protected from
+// eviction until protectedUntil. An order in progress keeps its slot, because it may still
+// reach the restarted engine. Its result is recorded for the previous start.
+func (s *Scheduler) Reset(now time.Time, loaded []sandbarrow.ModelRef, protectedUntil time.Time) {
+	s.engineStart++
 	for _, sl := range s.slots {
-		if sl.isHeld() {
+		if sl.isResident() {
 			delete(s.slots, sl.model)
 		}
 	}
 	for _, model := range loaded {
 		if s.slots[model] == nil {
-			s.slots[model] = &slot{model: model, loadedAt: now, lastUsed: now, keepUntil: keepUntil}
+			s.slots[model] = &slot{model: model, loadedAt: now, lastUsed: now, protectedUntil: protectedUntil}
 		}
 	}
 }
 
-// Resident lists the loaded adapters, in order.
+// Resident returns the loaded adapters, sorted by name.
 func (s *Scheduler) Resident() []sandbarrow.ModelRef {
 	resident := make([]sandbarrow.ModelRef, 0, len(s.slots))
 	for model, sl := range s.slots {
-		if sl.isHeld() {
+		if sl.isResident() {
 			resident = append(resident, model)
 		}
 	}
@@ -219,9 +223,9 @@
 	return resident
 }
 
-// IsCurrent reports whether an order was decided for the engine's present start.
+// IsCurrent reports whether an order was decided after the engine's last restart.
 func (s *Scheduler) IsCurrent(o Order) bool {
-	return o.start == s.start
+	return o.engineStart == s.engineStart
 }
 
 // SetBatchWait changes the longest wait for a batch.
@@ -229,33 +233,33 @@
 	s.options.BatchWait = d
 }
 
-// Stats returns the measurements.
+// Stats returns the current measurements.
 func (s *Scheduler) Stats(now time.Time) Stats {
-	st := Stats{Load: s.load.get(now), Queued: s.queued, Running: s.running, Service: s.runTime(now)}
+	st := Stats{Load: s.loadTime.get(now), Queued: s.queued, Running: s.running, Service: s.runTime(now)}
 	st.LoadWait = s.loadWait(now, s.unloadedGroups(nil))
 	return st
 }
 
-// bestGroup returns the ticket that goes first among the groups that pass. A
-// group's ticket counts as older by bonus for each ticket behind it.
-func (s *Scheduler) bestGroup(now time.Time, bonus time.Duration, pass func(sandbarrow.ModelRef, *group) bool) *Ticket {
+// bestGroup returns the first ticket of the eligible group that goes first. Each further
+// ticket adds bonus to its group's age.
+func (s *Scheduler) bestGroup(now time.Time, bonus time.Duration, eligible func(sandbarrow.ModelRef, *group) bool) *Ticket {
 	var best *Ticket
 	var bestWaiting sandbarrow.Waiting
 	for model, g := range s.groups {
-		if len(g.tickets) == 0 || !pass(model, g) {
+		if len(g.tickets) == 0 || !eligible(model, g) {
 			continue
 		}
 		w := g.waiting(bonus)
-		if best == nil || s.goesBefore(now, w, bestWaiting, model, best.Model) {
+		if best == nil || s.groupLess(now, w, bestWaiting, model, best.Model) {
 			best, bestWaiting = g.tickets[0], w
 		}
 	}
 	return best
 }
 
-// goesBefore compares two groups; equal ones go by name, so that decisions
-// repeat.
-func (s *Scheduler) goesBefore(now time.Time, a, b sandbarrow.Waiting, aModel, bModel sandbarrow.ModelRef) bool {
+// groupLess reports whether group a goes before group b. Ties are broken by model name,
+// which makes decisions deterministic.
+func (s *Scheduler) groupLess(now time.Time, a, b sandbarrow.Waiting, aModel, bModel sandbarrow.ModelRef) bool {
 	if s.options.Order.Less(now, a, b) {
 		return true
 	}
--- a/schedule/slot.go
+++ b/schedule/slot.go
@@ -6,14 +6,14 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// slotState says what an engine does with an adapter.
+// slotState is the state of an adapter on an engine.
 type slotState int
 
 // The states of a slot.
 const (
 	slotLoaded slotState = iota
-	// slotDraining is loaded, but starts nothing new: it goes to a group that has
-	// waited for drainAfter while no adapter was idle.
+	// slotDraining is loaded but starts no new requests. Its slot goes to a group that
+	// has waited for drainAfter while no adapter was idle.
 	slotDraining
 	slotLoading
 	slotUnloading
@@ -23,15 +23,16 @@
 type slot struct {
 	lastUsed time.Time
 	loadedAt time.Time
-	// keepUntil protects adapters that a previous agent may still be using.
-	keepUntil time.Time
-	model     sandbarrow.ModelRef
-	running   int
-	started   time.Time
-	state     slotState
+	// protectedUntil protects an adapter from eviction while requests that the
+	// scheduler does not count may still run on it, such as those of a previous agent.
+	protectedUntil time.Time
+	model          sandbarrow.ModelRef
+	running        int
+	loadStarted    time.Time
+	state          slotState
 }
 
-// isHeld reports whether the engine has the adapter, loaded in full.
-func (sl *slot) isHeld() bool {
+// isResident reports whether the adapter is completely loaded.
+func (sl *slot) isResident() bool {
 	return sl.state == slotLoaded || sl.state == slotDraining
 }
--- a/schedule/ticket.go
+++ b/schedule/ticket.go
@@ -1,8 +1,8 @@
 // Package schedule decides, for one upstream, which waiting request starts next and
-// which adapter is loaded for whom. It owns the queue, the slots and the measurements
-// of one upstream; it holds no clock, no locks and no connections: its owner, the
-// agent, passes the time and what has happened. It relies on sandbarrow.Evictor and
-// sandbarrow.QueueOrder for the rules that vary.
+// which adapter is loaded for which requests. It owns the queue, the slots and the
+// measurements of one upstream. It has no clock, no locks and no connections: its owner,
+// the agent, passes in the time and the events. Rules that vary are implemented by
+// sandbarrow.Evictor and sandbarrow.QueueOrder.
 package schedule
 
 import (
@@ -11,11 +11,11 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// maxGroupBonus bounds what the size of a group is worth, so that no cold adapter is starved by a
-// popular one.
+// maxGroupBonus bounds the age that a group gains by its size. Without the bound, a popular
+// adapter could starve a cold one.
 const maxGroupBonus = 10 * time.Second
 
-// TicketState says how far a ticket has come.
+// TicketState is the state of a ticket.
 type TicketState int
 
 // The states of a Ticket.
@@ -23,7 +23,7 @@
 	TicketNew TicketState = iota
 	TicketWaiting
 	TicketRunning
-	TicketEnded
+	TicketDone
 )
 
 // Ticket is one request at one upstream.
@@ -34,16 +34,16 @@
 	// NoBatchWait exempts the request from waiting for a batch.
 	NoBatchWait bool
 	Priority    int
-	// Stalled is the time the request waited for its adapter.
+	// StallTime is the time the request waited for its adapter to load.
 	Stalled time.Duration
-	// Stall says that the adapter was not loaded when the request arrived.
+	// Stall reports that the adapter was not loaded when the request arrived.
 	Stall bool
 	// Started is when the request started to run.
 	Started time.Time
 	State   TicketState
 	Weights string
 
-	// slot is where it runs. After a restart of the engine another slot may hold
+	// slot is where the ticket runs. After a restart of the engine, another slot may have
 	// the same model.
 	slot *slot
 }
@@ -52,20 +52,20 @@
 	return sandbarrow.Waiting{Arrived: t.Arrived, Priority: t.Priority}
 }
 
-// group holds the waiting tickets of one model, best first.
+// group holds the waiting tickets of one model, in queue order.
 type group struct {
 	failedUntil time.Time
 	tickets     []*Ticket
 }
 
-// waiting is the first ticket's, counted as older by bonus for each behind it.
+// waiting describes the first ticket. Each further ticket adds bonus to its age.
 func (g *group) waiting(bonus time.Duration) sandbarrow.Waiting {
 	w := g.tickets[0].waiting()
 	w.Arrived = w.Arrived.Add(-min(maxGroupBonus, bonus*time.Duration(len(g.tickets)-1)))
 	return w
 }
 
-func (g *group) exempt() bool {
+func (g *group) skipsBatchWait() bool {
 	for _, t := range g.tickets {
 		if t.NoBatchWait {
 			return true
