--- a/agent/agent.go
+++ b/agent/agent.go
@@ -220,7 +220,7 @@
 
 // pump starts what can start and orders what can be ordered. The caller holds mu.
 func (a *Agent) pump(now time.Time) {
-	for _, t := range a.scheduler.GiveUp(now) {
+	for _, t := range a.scheduler.DropUnmeetable(now) {
 		a.endWaiting(t, sandbarrow.NotRun(sandbarrow.ReasonOverload, "the deadline can't be met any more", a.scheduler.Stats(boottime.Now()).LoadWait))
 	}
 	for t := a.scheduler.NextStart(now); t != nil; t = a.scheduler.NextStart(now) {
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -140,7 +140,7 @@
 	delete(a.attempts, at.key())
 	delete(a.byTicket, at.ticket)
 	a.metrics.attempts.WithLabelValues(string(result.Outcome)).Inc()
-	a.metrics.stalls.Observe(at.ticket.Stalled.Seconds())
+	a.metrics.stalls.Observe(at.ticket.StallTime.Seconds())
 	// A slow entry must not hold up the agent.
 	go at.reply(result)
 	close(at.done)
@@ -306,7 +306,7 @@
 	defer a.mu.Unlock()
 	a.scheduler.Finish(now, at.ticket)
 	if failed {
-		a.scheduler.Keep(at.req.Model, now.Add(cancelGrace))
+		a.scheduler.Protect(at.req.Model, now.Add(cancelGrace))
 	}
 	a.end(at, result)
 	a.pump(now)
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -152,7 +152,7 @@
 	}
 	g := newChoosingGateway(b, statuses...)
 	c := callFor(g, "a", 9000)
-	c.service.Engine.MovePerToken = time.Microsecond
+	c.service.Engine.MoveTimePerToken = time.Microsecond
 	c.stretches = promptcache.Stretches(c.key, "1:1000,2:2000,3:2000,4:2000,5:2000")
 	var memory promptcache.Memory
 	memory.SetCapacity(100_000)
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -199,7 +199,7 @@
 	if result != resultAnswered {
 		c.logAttempt(e.instance.ID, result.String(), c.cause, e)
 	}
-	next, mayHaveRun, endReason := afterAttempt(result, c.committed, c.route.Repeatable())
+	next, mayHaveRun, endReason := afterAttempt(result, c.committed, c.route.Retryable())
 	if mayHaveRun {
 		c.ran++
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -38,11 +38,11 @@
 	Adapter  sandbarrow.AdapterID
 	Caller   sandbarrow.CallerID
 	Class    sandbarrow.CallerClass
-	ClassPri int
+	ClassPriority int
 	// Latest is the adapter's latest version.
 	Latest sandbarrow.VersionID
 	// MarkedAtMostOnce reports that the caller marked the request as at-most-once.
-	Marked bool
+	MarkedAtMostOnce bool
 	// Percent is a number from 0 to 99 for rollouts. It is stable per caller and adapter.
 	Percent int
 }
@@ -145,13 +145,13 @@
 // Once reports whether a request must run at most once.
 func (p *Policy) Once(r *Request) (bool, error) {
 	if p.once == nil {
-		return r.Marked, nil
+		return r.MarkedAtMostOnce, nil
 	}
 	v, err := eval(p.once, r.variables())
 	if err != nil {
 		return false, err
 	}
-	return r.Marked || v.Value().(bool), nil
+	return r.MarkedAtMostOnce || v.Value().(bool), nil
 }
 
 // Place reports whether an upstream may serve requests of a class.
@@ -174,7 +174,7 @@
 // Priority returns the priority of a request; 0 is the most urgent.
 func (p *Policy) Priority(r *Request) (int, error) {
 	if p.priority == nil {
-		return r.ClassPri, nil
+		return r.ClassPriority, nil
 	}
 	v, err := eval(p.priority, r.variables())
 	if err != nil {
@@ -200,9 +200,9 @@
 		"adapter":        string(r.Adapter),
 		"caller":         string(r.Caller),
 		"class":          string(r.Class),
-		"class_priority": int64(r.ClassPri),
+		"class_priority": int64(r.ClassPriority),
 		"latest":         string(r.Latest),
-		"marked":         r.Marked,
+		"marked":         r.MarkedAtMostOnce,
 		"percent":        int64(r.Percent),
 	}
 }
--- a/route/route.go
+++ b/route/route.go
@@ -40,7 +40,7 @@
 	Kind Kind
 	// EventGapTarget is the longest pause between two events of a stream for which its
 	// response earns full credit; 0 if there is no target.
-	LongestPause time.Duration
+	EventGapTarget time.Duration
 	// MaxAttempts is the largest number of upstreams tried for one request.
 	MaxAttempts int
 	Name        string
@@ -59,7 +59,7 @@
 }
 
 // Retryable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
@@ -91,10 +91,10 @@
 	AdapterSlots int
 	// KVCacheTokens is the capacity of an engine's KV cache in tokens, for running requests
 	// and cached prompts; 0 if unknown.
-	MemoryTokens int
+	KVCacheTokens int
 	// MoveTimePerToken is the time to move one token of an engine's KV cache to another
 	// engine; 0 if the engines can't move them.
-	MovePerToken time.Duration
+	MoveTimePerToken time.Duration
 	Models       []Model
 }
 
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -13,7 +13,7 @@
 //
 // The decision depends on the deadlines, the measured run and load times, the interval
 // between loads while groups wait, and the delay of the next load.
-func (s *Scheduler) GiveUp(now time.Time) []*Ticket {
+func (s *Scheduler) DropUnmeetable(now time.Time) []*Ticket {
 	var unmeetable []*Ticket
 	soonest := now.Add(s.runTime(now))
 	for _, g := range s.groups {
--- a/schedule/replayrunner_test.go
+++ b/schedule/replayrunner_test.go
@@ -68,7 +68,7 @@
 // report updates the fleet as an agent's status does.
 func (u *runner) report(now time.Time) {
 	st := u.scheduler.Stats(now)
-	u.replay.fleet.SetLoad(u.index, placement.Load{LoadTime: st.LoadWait, Queued: st.Queued, Running: st.Running, ServiceTime: st.Service})
+	u.replay.fleet.SetLoad(u.index, placement.Load{LoadTime: st.LoadWait, Queued: st.Queued, Running: st.Running, ServiceTime: st.RunTime})
 	resident := u.scheduler.Resident()
 	hashes := make([]uint64, len(resident))
 	for i, m := range resident {
@@ -104,14 +104,14 @@
 }
 
 func (u *runner) advance(now time.Time) {
-	for _, t := range u.scheduler.GiveUp(now) {
+	for _, t := range u.scheduler.DropUnmeetable(now) {
 		f := u.inflight[t]
 		u.drop(f)
 		u.replay.result.refuse(now, f)
 	}
 	for t := u.scheduler.NextStart(now); t != nil; t = u.scheduler.NextStart(now) {
 		f := u.inflight[t]
-		f.stalled += t.Stalled
+		f.stalled += t.StallTime
 		u.running = append(u.running, f)
 		u.replay.result.begin(now, f)
 	}
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -57,12 +57,12 @@
 // Stats are measurements of one scheduler.
 type Stats struct {
 	// LoadTime is the expected time of one load.
-	Load time.Duration
+	LoadTime time.Duration
 	// LoadWait is the expected time until a newly requested adapter is loaded.
 	LoadWait time.Duration
 	Queued   int
 	Running  int
-	Service  time.Duration
+	RunTime  time.Duration
 }
 
 // Scheduler makes the decisions for one upstream. admission.go decides which tickets are
@@ -138,7 +138,7 @@
 }
 
 // Protect keeps a loaded model from being evicted until the given time.
-func (s *Scheduler) Keep(model sandbarrow.ModelRef, until time.Time) {
+func (s *Scheduler) Protect(model sandbarrow.ModelRef, until time.Time) {
 	if sl := s.slots[model]; sl != nil && sl.protectedUntil.Before(until) {
 		sl.protectedUntil = until
 	}
@@ -172,7 +172,7 @@
 		sl.lastUsed = now
 		t.slot = sl
 		if t.Stall {
-			t.Stalled = sl.loadedAt.Sub(t.Arrived)
+			t.StallTime = sl.loadedAt.Sub(t.Arrived)
 		}
 	}
 	return t
@@ -235,7 +235,7 @@
 
 // Stats returns the current measurements.
 func (s *Scheduler) Stats(now time.Time) Stats {
-	st := Stats{Load: s.loadTime.get(now), Queued: s.queued, Running: s.running, Service: s.runTime(now)}
+	st := Stats{LoadTime: s.loadTime.get(now), Queued: s.queued, Running: s.running, RunTime: s.runTime(now)}
 	st.LoadWait = s.loadWait(now, s.unloadedGroups(nil))
 	return st
 }
--- a/schedule/ticket.go
+++ b/schedule/ticket.go
@@ -35,7 +35,7 @@
 	NoBatchWait bool
 	Priority    int
 	// StallTime is the time the request waited for its adapter to load.
-	Stalled time.Duration
+	StallTime time.Duration
 	// Stall reports that the adapter was not loaded when the request arrived.
 	Stall bool
 	// Started is when the request started to run.
