--- a/policy/policy.go
+++ b/policy/policy.go
@@ -35,9 +35,9 @@
 
 // Request holds the properties of a request that programs can use.
 type Request struct {
-	Adapter  sandbarrow.AdapterID
-	Caller   sandbarrow.CallerID
-	Class    sandbarrow.CallerClass
+	Adapter       sandbarrow.AdapterID
+	Caller        sandbarrow.CallerID
+	Class         sandbarrow.CallerClass
 	ClassPriority int
 	// Latest is the adapter's latest version.
 	Latest sandbarrow.VersionID
--- a/route/route.go
+++ b/route/route.go
@@ -95,7 +95,7 @@
 	// MoveTimePerToken is the time to move one token of an engine's KV cache to another
 	// engine; 0 if the engines can't move them.
 	MoveTimePerToken time.Duration
-	Models       []Model
+	Models           []Model
 }
 
 // Service is a set of upstreams that serve the same requests.
