--- a/boxlist.go
+++ b/boxlist.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// BoxState says whether a box stays or goes.
+// BoxState says whether a box is live or being drained.
 type BoxState string
 
-// The states of a box in the platform's list.
+// The states of a box in the platform's box list.
 const (
 	BoxLeaving BoxState = "leaving"
 	BoxLive    BoxState = "live"
@@ -20,7 +20,7 @@
 	RoleEntry BoxRole = "entry"
 )
 
-// Box is one row of the platform's lagging list of boxes.
+// Box is one row of the platform's box list.
 type Box struct {
 	Address       string        `json:"address"`
 	FailureDomain FailureDomain `json:"failure_domain"`
@@ -29,7 +29,7 @@
 	State         BoxState      `json:"state"`
 }
 
-// BoxList is the platform's lagging list of live and leaving boxes.
+// BoxList is the platform's list of live and draining boxes. It lags behind the actual state.
 type BoxList interface {
 	Boxes(ctx context.Context) ([]Box, error)
 }
--- a/claim/overtakenvoid_test.go
+++ b/claim/overtakenvoid_test.go
@@ -13,22 +13,22 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// The outputs of calls.
+// The possible outputs of calls.
 var (
-	overtaken = claimOutput{known: true, unanswered: true}
+	overtaken = claimOutput{known: true, replyLost: true}
 	refused   = claimOutput{known: true}
 	unknown   = claimOutput{}
 	won       = claimOutput{known: true, won: true}
 )
 
-// interruptedStore runs a function once, between a write that gave no reply and the
-// next call.
+// interruptedStore runs a function once, after the first write that returns an error and before
+// the next call.
 type interruptedStore struct {
 	sandbarrow.Store
 	between func()
 }
 
-// CompareAndSwap passes on.
+// CompareAndSwap forwards the call, and runs between after the first error.
 func (s *interruptedStore) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
 	revision, err := s.Store.CompareAndSwap(ctx, key, previous, value, lease)
 	between := s.between
@@ -39,8 +39,8 @@
 	return revision, err
 }
 
-// loseCalls loses the reply of each call from the first to the last, counted from 1.
-func loseCalls(first, last int) func() storetest.Fault {
+// loseReplies loses the reply to each call from first to last, counted from 1.
+func loseReplies(first, last int) func() storetest.Fault {
 	calls := 0
 	return func() storetest.Fault {
 		calls++
@@ -51,201 +51,205 @@
 	}
 }
 
-// overtakenVoid voids attempt 1, loses the reply of the write, runs between before the
-// void reads back, checks that it learns of attempt 4, which between has to start under
-// the token "fourth", and returns the voider and its call.
+// overtakenVoid voids attempt 1 and loses the reply to the write. It runs between before the
+// void reads the record back; between must start attempt 4 under the token "fourth". The
+// function checks that the void returns the record of attempt 4. It returns the claimer that
+// made the void, and the void as an operation.
 func overtakenVoid(t *testing.T, kv sandbarrow.Store, between func()) (*Store, porcupine.Operation) {
-	// The first call is for the lease, the second is the write.
-	w := &watchedWrites{Store: kv}
-	interrupted := &interruptedStore{Store: w.behind(loseCalls(2, 2)), between: between}
+	// The first call grants the lease, the second is the write.
+	w := &lostReplyDetector{Store: kv}
+	interrupted := &interruptedStore{Store: w.withFaults(loseReplies(2, 2)), between: between}
 	s := NewStore(interrupted)
-	call, stands := recorded(s, w, claimInput{attempt: 1}, "void", 0)
-	assert.Assert(t, interrupted.between == nil, "nothing ran between")
+	call, current := recordedCall(s, w, claimInput{attempt: 1}, "void", 0)
+	assert.Assert(t, interrupted.between == nil, "between did not run")
 	assert.Equal(t, call.Output, any(overtaken))
 	want := sandbarrow.Claim{Attempt: 4, State: sandbarrow.ClaimStarted, Token: "fourth"}
-	assert.Equal(t, stands, want)
+	assert.Equal(t, current, want)
 	return s, call
 }
 
-func startOf(s *Store, attempt sandbarrow.Attempt, token string) error {
+func startAttempt(s *Store, attempt sandbarrow.Attempt, token string) error {
 	return s.Start(context.Background(), id, sandbarrow.Claim{Attempt: attempt, Token: token})
 }
 
-// assertRefused checks that an attempt can't start, at any of the claimers.
+// assertRefused checks that no claimer permits the attempt to start.
 func assertRefused(t *testing.T, attempt sandbarrow.Attempt, want error, claimers ...*Store) {
 	t.Helper()
 	for _, s := range claimers {
-		err := startOf(s, attempt, "refused")
+		err := startAttempt(s, attempt, "refused")
 		assert.Assert(t, errors.Is(err, want), "attempt %d: %v", attempt, err)
 	}
 }
 
-func TestOvertakenVoid(t *testing.T) {
+func TestNoStartAfterOvertakenVoid(t *testing.T) {
 	kv := store.NewMemory()
 	other := NewStore(kv)
 	voider, _ := overtakenVoid(t, kv, func() {
 		assertRefused(t, 1, ErrVoided, other)
-		assert.NilError(t, startOf(other, 4, "fourth"))
+		assert.NilError(t, startAttempt(other, 4, "fourth"))
 	})
 	for attempt := range sandbarrow.Attempt(6) {
 		assertRefused(t, attempt, ErrStarted, voider, other, NewStore(kv))
 	}
 }
 
-func TestOvertakenVoidOutlivesARelease(t *testing.T) {
+func TestOvertakenVoidHoldsAfterRelease(t *testing.T) {
 	kv := store.NewMemory()
 	other := NewStore(kv)
 	voider, _ := overtakenVoid(t, kv, func() {
-		assert.NilError(t, startOf(other, 4, "fourth"))
+		assert.NilError(t, startAttempt(other, 4, "fourth"))
 	})
 	assert.NilError(t, other.Release(context.Background(), id, sandbarrow.Claim{Attempt: 4, Token: "fourth"}))
 	claimers := []*Store{voider, other, NewStore(kv)}
 	assertRefused(t, 1, ErrVoided, claimers...)
 	assertRefused(t, 4, ErrVoided, claimers...)
-	assert.NilError(t, startOf(voider, 5, "fifth"))
+	assert.NilError(t, startAttempt(voider, 5, "fifth"))
 	assertRefused(t, 1, ErrStarted, claimers...)
 	assertRefused(t, 6, ErrStarted, claimers...)
 }
 
-func TestOvertakenVoidOutlivesAnAbandonedClaim(t *testing.T) {
+func TestOvertakenVoidHoldsAfterAbandonedClaim(t *testing.T) {
 	kv := store.NewMemory()
-	// The lease, a write in vain and a read are answered; the write that lands and all
-	// calls after it are not.
-	other := NewStore(&storetest.Store{Below: kv, Next: loseCalls(4, 1+2*claimTries)})
+	// The grant of the lease, a conflicting write and a read get replies. The replies to the
+	// write that takes effect and to all later calls are lost.
+	other := NewStore(&storetest.Store{Below: kv, Next: loseReplies(4, 1+2*maxWriteAttempts)})
 	voider, _ := overtakenVoid(t, kv, func() {
-		err := startOf(other, 4, "fourth")
+		err := startAttempt(other, 4, "fourth")
 		assert.Assert(t, errors.Is(err, ErrStore), "%v", err)
 	})
 	assertRefused(t, 1, ErrStarted, voider, NewStore(kv))
 	assertRefused(t, 1, ErrVoided, other)
 	assertRefused(t, 3, ErrVoided, other)
-	assert.NilError(t, startOf(other, 5, "fifth"))
+	assert.NilError(t, startAttempt(other, 5, "fifth"))
 	assertRefused(t, 1, ErrStarted, voider, other, NewStore(kv))
 	assertRefused(t, 6, ErrStarted, voider, other, NewStore(kv))
 }
 
-func TestOvertakenVoidHasTwoPoints(t *testing.T) {
+func TestOvertakenVoidHasTwoLinearizationPoints(t *testing.T) {
 	kv := store.NewMemory()
-	w := &watchedWrites{Store: kv}
+	w := &lostReplyDetector{Store: kv}
 	other := NewStore(w)
 	var history []porcupine.Operation
 	_, void := overtakenVoid(t, kv, func() {
-		first, _ := recorded(other, w, claimInput{attempt: 1, start: true}, "first", 1)
-		fourth, _ := recorded(other, w, claimInput{attempt: 4, start: true}, "fourth", 1)
+		first, _ := recordedCall(other, w, claimInput{attempt: 1, start: true}, "first", 1)
+		fourth, _ := recordedCall(other, w, claimInput{attempt: 4, start: true}, "fourth", 1)
 		history = append(history, first, fourth)
 	})
 	history = append(history, void)
 	assert.Equal(t, history[0].Output, any(refused))
 	assert.Equal(t, history[1].Output, any(won))
 	assert.Assert(t, !porcupine.CheckOperations(claimModel, history), "%v", history)
-	assert.Assert(t, porcupine.CheckOperations(claimModel, pointsOf(history)), "%v", history)
+	assert.Assert(t, porcupine.CheckOperations(claimModel, linearizationPoints(history)), "%v", history)
 }
 
-// forged returns a call of a history that is written by hand.
-func forged(client int, in claimInput, out claimOutput, call, end int64) porcupine.Operation {
+// operation returns one call of a hand-written history.
+func operation(client int, in claimInput, out claimOutput, call, end int64) porcupine.Operation {
 	return porcupine.Operation{Call: call, ClientId: client, Input: in, Output: out, Return: end}
 }
 
-// overtakenHistory returns a recorded history of four clients, in nanoseconds from its
-// begin, in which client 0's void was overtaken, with the output of that void.
+// overtakenHistory returns a recorded history of four clients, in which a start overtook the first
+// void of client 0. Times are in nanoseconds from the start of the history; first is the
+// output of that void.
 func overtakenHistory(first claimOutput) []porcupine.Operation {
 	return []porcupine.Operation{
-		forged(1, startIn(1), refused, 7951, 61138),
-		forged(1, startIn(4), won, 65583, 110078),
-		forged(1, voidIn(2), refused, 113754, 144343),
-		forged(0, voidIn(1), first, 0, 165741),
-		forged(0, voidIn(4), refused, 169460, 201523),
-		forged(0, startIn(4), refused, 206314, 237001),
-		forged(3, startIn(4), refused, 19299, 269320),
-		forged(2, voidIn(1), refused, 14476, 284960),
-		forged(3, startIn(1), refused, 274151, 313168),
-		forged(2, startIn(2), refused, 290613, 331042),
-		forged(3, voidIn(2), refused, 319965, 352647),
-		forged(2, voidIn(1), refused, 335026, 367688),
+		operation(1, startInput(1), refused, 7951, 61138),
+		operation(1, startInput(4), won, 65583, 110078),
+		operation(1, voidInput(2), refused, 113754, 144343),
+		operation(0, voidInput(1), first, 0, 165741),
+		operation(0, voidInput(4), refused, 169460, 201523),
+		operation(0, startInput(4), refused, 206314, 237001),
+		operation(3, startInput(4), refused, 19299, 269320),
+		operation(2, voidInput(1), refused, 14476, 284960),
+		operation(3, startInput(1), refused, 274151, 313168),
+		operation(2, startInput(2), refused, 290613, 331042),
+		operation(3, voidInput(2), refused, 319965, 352647),
+		operation(2, voidInput(1), refused, 335026, 367688),
 	}
 }
 
-func startIn(attempt sandbarrow.Attempt) claimInput { return claimInput{attempt: attempt, start: true} }
+func startInput(attempt sandbarrow.Attempt) claimInput {
+	return claimInput{attempt: attempt, start: true}
+}
 
-func voidIn(attempt sandbarrow.Attempt) claimInput { return claimInput{attempt: attempt} }
+func voidInput(attempt sandbarrow.Attempt) claimInput { return claimInput{attempt: attempt} }
 
-func TestForgedHistories(t *testing.T) {
+func TestClaimModelOnGivenHistories(t *testing.T) {
 	for name, tc := range map[string]struct {
-		history       []porcupine.Operation
-		whole, points bool
+		history           []porcupine.Operation
+		asCalls, asPoints bool
 	}{
 		"recorded, with the lost reply": {overtakenHistory(overtaken), false, true},
 		"recorded, no reply lost":       {overtakenHistory(refused), false, false},
-		"a void, a refused start, a start": {[]porcupine.Operation{
-			forged(0, voidIn(1), won, 0, 1),
-			forged(1, startIn(1), refused, 2, 3),
-			forged(1, startIn(2), won, 4, 5),
-			forged(0, voidIn(1), refused, 6, 7),
+		"a void, a refused start, a later start": {[]porcupine.Operation{
+			operation(0, voidInput(1), won, 0, 1),
+			operation(1, startInput(1), refused, 2, 3),
+			operation(1, startInput(2), won, 4, 5),
+			operation(0, voidInput(1), refused, 6, 7),
 		}, true, true},
-		"an unknown void, a refused start, a start": {[]porcupine.Operation{
-			forged(0, voidIn(1), unknown, 0, 9),
-			forged(1, startIn(1), refused, 2, 3),
-			forged(1, startIn(2), won, 4, 5),
+		"a void of unknown outcome, a refused start, a later start": {[]porcupine.Operation{
+			operation(0, voidInput(1), unknown, 0, 9),
+			operation(1, startInput(1), refused, 2, 3),
+			operation(1, startInput(2), won, 4, 5),
 		}, true, true},
 		"two starts won": {[]porcupine.Operation{
-			forged(0, startIn(1), won, 0, 9),
-			forged(1, startIn(2), won, 0, 9),
+			operation(0, startInput(1), won, 0, 9),
+			operation(1, startInput(2), won, 0, 9),
 		}, false, false},
-		"two starts won beside an overtaken void": {[]porcupine.Operation{
-			forged(0, voidIn(1), overtaken, 0, 9),
-			forged(1, startIn(2), won, 0, 9),
-			forged(2, startIn(3), won, 0, 9),
+		"two starts won, and an overtaken void": {[]porcupine.Operation{
+			operation(0, voidInput(1), overtaken, 0, 9),
+			operation(1, startInput(2), won, 0, 9),
+			operation(2, startInput(3), won, 0, 9),
 		}, false, false},
 		"a start won after a void of its attempt": {[]porcupine.Operation{
-			forged(0, voidIn(2), won, 0, 1),
-			forged(1, startIn(2), won, 2, 3),
+			operation(0, voidInput(2), won, 0, 1),
+			operation(1, startInput(2), won, 2, 3),
 		}, false, false},
 		"a start won after a void of a later attempt": {[]porcupine.Operation{
-			forged(0, voidIn(3), won, 0, 1),
-			forged(1, startIn(2), won, 2, 3),
+			operation(0, voidInput(3), won, 0, 1),
+			operation(1, startInput(2), won, 2, 3),
 		}, false, false},
 		"a start won after an overtaken void of its attempt": {[]porcupine.Operation{
-			forged(0, voidIn(1), overtaken, 0, 9),
-			forged(1, startIn(1), refused, 0, 1),
-			forged(1, startIn(1), won, 2, 3),
+			operation(0, voidInput(1), overtaken, 0, 9),
+			operation(1, startInput(1), refused, 0, 1),
+			operation(1, startInput(1), won, 2, 3),
 		}, false, false},
 		"only a start that an overtaken void forbids": {[]porcupine.Operation{
-			forged(0, voidIn(4), overtaken, 0, 9),
-			forged(1, startIn(4), won, 2, 3),
+			operation(0, voidInput(4), overtaken, 0, 9),
+			operation(1, startInput(4), won, 2, 3),
 		}, true, false},
 		"a void refused, nothing started": {[]porcupine.Operation{
-			forged(0, voidIn(1), refused, 0, 9),
-			forged(1, startIn(1), refused, 0, 9),
+			operation(0, voidInput(1), refused, 0, 9),
+			operation(1, startInput(1), refused, 0, 9),
 		}, false, false},
 		"an overtaken void, nothing started": {[]porcupine.Operation{
-			forged(0, voidIn(1), overtaken, 0, 9),
-			forged(1, startIn(1), refused, 0, 9),
+			operation(0, voidInput(1), overtaken, 0, 9),
+			operation(1, startInput(1), refused, 0, 9),
 		}, false, false},
-		"an overtaken void, started after its answer": {[]porcupine.Operation{
-			forged(0, voidIn(1), overtaken, 0, 1),
-			forged(1, startIn(2), won, 2, 3),
+		"an overtaken void, started after its return": {[]porcupine.Operation{
+			operation(0, voidInput(1), overtaken, 0, 1),
+			operation(1, startInput(2), won, 2, 3),
 		}, false, false},
 		"an overtaken void, started before its call": {[]porcupine.Operation{
-			forged(1, startIn(2), won, 0, 1),
-			forged(0, voidIn(1), overtaken, 2, 3),
+			operation(1, startInput(2), won, 0, 1),
+			operation(0, voidInput(1), overtaken, 2, 3),
 		}, true, false},
 		"a void won after a start": {[]porcupine.Operation{
-			forged(1, startIn(2), won, 0, 1),
-			forged(0, voidIn(1), won, 2, 3),
+			operation(1, startInput(2), won, 0, 1),
+			operation(0, voidInput(1), won, 2, 3),
 		}, false, false},
-		"a start refused, nothing before": {[]porcupine.Operation{
-			forged(1, startIn(2), refused, 0, 1),
-			forged(0, voidIn(2), won, 2, 3),
+		"a start refused, no call before it": {[]porcupine.Operation{
+			operation(1, startInput(2), refused, 0, 1),
+			operation(0, voidInput(2), won, 2, 3),
 		}, false, false},
-		"a start without its reply has one point": {[]porcupine.Operation{
-			forged(0, startIn(1), overtaken, 0, 9),
-			forged(1, startIn(2), refused, 0, 1),
-			forged(1, startIn(3), won, 2, 3),
+		"a start whose reply was lost has one linearization point": {[]porcupine.Operation{
+			operation(0, startInput(1), overtaken, 0, 9),
+			operation(1, startInput(2), refused, 0, 1),
+			operation(1, startInput(3), won, 2, 3),
 		}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, porcupine.CheckOperations(claimModel, tc.history), tc.whole)
-			assert.Equal(t, porcupine.CheckOperations(claimModel, pointsOf(tc.history)), tc.points)
+			assert.Equal(t, porcupine.CheckOperations(claimModel, tc.history), tc.asCalls)
+			assert.Equal(t, porcupine.CheckOperations(claimModel, linearizationPoints(tc.history)), tc.asPoints)
 		})
 	}
 }
--- a/claim/storeclaimer.go
+++ b/claim/storeclaimer.go
@@ -1,8 +1,8 @@
-// Package claim makes once-only requests run at most once, by records in the
-// platform's store: one key a request, written by compare-and-swap right before the
-// start and settled by reading back. It owns the keys under its prefix and relies on
-// sandbarrow.Store alone; agents start and release claims, entries void them. What was
-// weighed stands in docs/design/claims.md.
+// Package claim makes at-most-once requests run at most once. It stores one record per
+// request in the platform's store. The record is written by compare-and-swap right before
+// the start; after a lost reply it is read back. The package owns the keys under its prefix
+// and depends only on sandbarrow.Store. Agents start and release claims, entries void them.
+// docs/design/claims.md explains the design.
 package claim
 
 import (
@@ -19,86 +19,86 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// The errors of claimers. None of them permits a run.
+// The errors of a claimer. After any of them, the attempt must not run.
 const (
-	// ErrStarted means that an attempt has started already; see RecordOf.
+	// ErrStarted means that an attempt has already started; RecordOf returns its record.
 	ErrStarted = errors.ConstError("claim: an attempt has started")
-	// ErrStore means that the store gave no answer in time.
-	ErrStore = errors.ConstError("claim: store gave no answer")
+	// ErrStore means that the store did not reply in time.
+	ErrStore = errors.ConstError("claim: no reply from store")
 	// ErrVoided means that this attempt was voided.
 	ErrVoided = errors.ConstError("claim: attempt voided")
 )
 
 const (
-	// abandonLife is how long a claim without a run is remembered by its token; no lost write lands
-	// after that.
-	abandonLife = 10 * time.Minute
-	// claimTries bounds the rounds against racing writers and lost replies.
-	claimTries = 6
-	keyPrefix  = "claims/"
-	// releasedSuffix keeps the token of a release apart from its claim's.
+	// abandonedRetention is how long the token of a claim that did not lead to a run is kept. No
+	// delayed write takes effect after that time.
+	abandonedRetention = 10 * time.Minute
+	// maxWriteAttempts limits the retries of a write after conflicts and lost replies.
+	maxWriteAttempts = 6
+	keyPrefix        = "claims/"
+	// releasedSuffix distinguishes the token of a release from that of its claim.
 	releasedSuffix = "-released"
-	// leaseSpan is how long processes put new claims under one lease.
-	leaseSpan = time.Hour
-	// Retention is how long a claim is kept at least: a repeat within a day never runs
-	// again (docs/OPERATIONS.md).
+	// leaseReuse is how long a process attaches new claims to the same lease.
+	leaseReuse = time.Hour
+	// Retention is the minimum time that a claim is kept: a request that is retried within a
+	// day does not run again (docs/OPERATIONS.md).
 	Retention = 24 * time.Hour
 )
 
-// standingError carries the record that stands.
-type standingError struct {
+// recordError is an error with the current record of the request.
+type recordError struct {
 	kind   error
 	record sandbarrow.Claim
 }
 
-// Error names the kind.
-func (e *standingError) Error() string { return e.kind.Error() }
+// Error returns the text of the kind.
+func (e *recordError) Error() string { return e.kind.Error() }
 
 // Is matches the kind.
-func (e *standingError) Is(target error) bool { return target == e.kind }
+func (e *recordError) Is(target error) bool { return target == e.kind }
 
-// RecordOf returns the record of an ErrStarted or ErrVoided.
+// RecordOf returns the record of an ErrStarted or ErrVoided, or false for other errors.
 func RecordOf(err error) (sandbarrow.Claim, bool) {
-	var e *standingError
+	var e *recordError
 	if !errors.As(err, &e) {
 		return sandbarrow.Claim{}, false
 	}
 	return e.record, true
 }
 
-// Store keeps one key a claim. It is safe for concurrent use.
+// Store stores each claim under a key of its own. It is safe for concurrent use.
 type Store struct {
 	store sandbarrow.Store
 
-	mu        sync.Mutex
-	abandoned map[string]time.Time // by token
-	pruned    time.Time
-	lease     sandbarrow.LeaseID
-	leaseEnds time.Time
+	mu               sync.Mutex
+	abandoned        map[string]time.Time // by token
+	abandonedPruned  time.Time
+	lease            sandbarrow.LeaseID
+	leaseReusedUntil time.Time
 	// recent holds the claims written within recentRetention.
 	recent       map[sandbarrow.RequestID]recentClaim
 	recentPruned time.Time
 }
 
-// NewStore returns a claimer over the platform's store.
+// NewStore returns a claimer that uses the platform's store.
 func NewStore(s sandbarrow.Store) *Store {
 	return &Store{abandoned: map[string]time.Time{}, recent: map[sandbarrow.RequestID]recentClaim{}, store: s}
 }
 
-// Release voids an attempt whose start was claimed under c.Token but that
-// never ran, so that a later attempt may run.
+// Release voids an attempt that was claimed under c.Token but never ran. A later
+// attempt may then run.
 func (s *Store) Release(ctx context.Context, id sandbarrow.RequestID, c sandbarrow.Claim) error {
 	s.abandon(c.Token)
 	released := c
 	released.State = sandbarrow.ClaimVoided
 	released.Token = c.Token + releasedSuffix
-	err := s.settle(ctx, id, released, func(standing *sandbarrow.Claim) error {
-		if standing != nil && standing.Token != c.Token {
-			return errStands
+	err := s.update(ctx, id, released, func(current *sandbarrow.Claim) error {
+		if current != nil && current.Token != c.Token {
+			return errOtherRecord
 		}
 		return nil
 	})
-	if errors.Is(err, errStands) {
+	if errors.Is(err, errOtherRecord) {
 		return nil
 	}
 	return err
@@ -107,74 +107,75 @@
 // Start claims the right to run an attempt now.
 func (s *Store) Start(ctx context.Context, id sandbarrow.RequestID, c sandbarrow.Claim) error {
 	c.State = sandbarrow.ClaimStarted
-	err := s.settle(ctx, id, c, s.permitStart(c))
+	err := s.update(ctx, id, c, s.permitStart(c))
 	if errors.Is(err, ErrStore) {
-		// A lost write may still land. It must not stand as a run of ours.
+		// A delayed write may still take effect. It must not count as a run of this process.
 		s.abandon(c.Token)
 	}
 	return err
 }
 
-// Void forbids the attempts up to c.Attempt and returns the record that stands.
+// Void forbids the attempts up to c.Attempt and returns the current record.
 func (s *Store) Void(ctx context.Context, id sandbarrow.RequestID, c sandbarrow.Claim) (sandbarrow.Claim, error) {
 	c.State = sandbarrow.ClaimVoided
-	stands := c
-	err := s.settle(ctx, id, c, permitVoid(c, &stands))
-	if errors.Is(err, errStands) {
+	result := c
+	err := s.update(ctx, id, c, permitVoid(c, &result))
+	if errors.Is(err, errOtherRecord) {
 		err = nil
 	}
-	return stands, err
+	return result, err
 }
 
-// permitStart returns the check whether an attempt may start, given the record that stands.
+// permitStart returns a check whether an attempt may start, given the current record.
 func (s *Store) permitStart(c sandbarrow.Claim) func(*sandbarrow.Claim) error {
-	return func(standing *sandbarrow.Claim) error {
+	return func(current *sandbarrow.Claim) error {
 		switch {
-		case standing == nil:
+		case current == nil:
 			return nil
-		case s.isAbandoned(standing.Token):
-			return permitOverAbandoned(standing, c)
-		case standing.State == sandbarrow.ClaimStarted:
-			return &standingError{kind: ErrStarted, record: *standing}
-		case c.Attempt <= standing.Attempt:
-			return &standingError{kind: ErrVoided, record: *standing}
+		case s.isAbandoned(current.Token):
+			return permitAfterAbandoned(current, c)
+		case current.State == sandbarrow.ClaimStarted:
+			return &recordError{kind: ErrStarted, record: *current}
+		case c.Attempt <= current.Attempt:
+			return &recordError{kind: ErrVoided, record: *current}
 		}
 		return nil
 	}
 }
 
-// permitVoid returns the check whether the attempts up to c.Attempt may be voided, given the record that
-// stands. If they may not, the check copies that record to stands.
-func permitVoid(c sandbarrow.Claim, stands *sandbarrow.Claim) func(*sandbarrow.Claim) error {
-	return func(standing *sandbarrow.Claim) error {
-		if standing == nil {
+// permitVoid returns a check whether the attempts up to c.Attempt may be voided, given the current record.
+// If they may not, the check copies that record to found.
+func permitVoid(c sandbarrow.Claim, found *sandbarrow.Claim) func(*sandbarrow.Claim) error {
+	return func(current *sandbarrow.Claim) error {
+		if current == nil {
 			return nil
 		}
-		if standing.State == sandbarrow.ClaimStarted || standing.Attempt >= c.Attempt {
-			*stands = *standing
-			return errStands
+		if current.State == sandbarrow.ClaimStarted || current.Attempt >= c.Attempt {
+			*found = *current
+			return errOtherRecord
 		}
 		return nil
 	}
 }
 
-// permitOverAbandoned decides over a claim of ours that never ran. It may have
-// followed a void, which forbids the attempts before its own for good.
-func permitOverAbandoned(standing *sandbarrow.Claim, c sandbarrow.Claim) error {
-	if c.Attempt >= standing.Attempt {
+// permitAfterAbandoned checks whether an attempt may start although an abandoned claim of this
+// process is stored. The abandoned claim may have replaced a void. That void still forbids the
+// attempts before the abandoned one.
+func permitAfterAbandoned(current *sandbarrow.Claim, c sandbarrow.Claim) error {
+	if c.Attempt >= current.Attempt {
 		return nil
 	}
-	record := *standing
+	record := *current
 	record.State = sandbarrow.ClaimVoided
-	return &standingError{kind: ErrVoided, record: record}
+	return &recordError{kind: ErrVoided, record: record}
 }
 
-// errStands ends a settle with the standing record.
-const errStands = errors.ConstError("claim: another record stands")
+// errOtherRecord ends an update because the current record must not be replaced.
+const errOtherRecord = errors.ConstError("claim: another record is stored")
 
-// settle writes c if permit accepts the record that stands, and records it for rewriting after a restore
-// of the store.
-func (s *Store) settle(ctx context.Context, id sandbarrow.RequestID, c sandbarrow.Claim, permit func(*sandbarrow.Claim) error) error {
+// update writes c if permit accepts the current record, and keeps it for rewriting after a restore of the
+// store.
+func (s *Store) update(ctx context.Context, id sandbarrow.RequestID, c sandbarrow.Claim, permit func(*sandbarrow.Claim) error) error {
 	s.awaitRewrite(ctx)
 	err := s.write(ctx, id, c, permit)
 	if err == nil {
@@ -183,8 +184,8 @@
 	return err
 }
 
-// write writes c if permit accepts the record that stands. A lost reply is
-// settled by reading back: c.Token is ours alone.
+// write writes c if permit accepts the current record. If the reply is lost, it reads the
+// record back and compares c.Token, which is unique to the claim.
 func (s *Store) write(ctx context.Context, id sandbarrow.RequestID, c sandbarrow.Claim, permit func(*sandbarrow.Claim) error) error {
 	value, err := json.Marshal(c)
 	if err != nil {
@@ -192,11 +193,11 @@
 	}
 	key := keyOf(id)
 	var previous sandbarrow.StoreRevision
-	for range claimTries {
+	for range maxWriteAttempts {
 		if ctx.Err() != nil {
 			break
 		}
-		lease, err := s.leaseNow(ctx)
+		lease, err := s.currentLease(ctx)
 		if err != nil {
 			continue
 		}
@@ -211,14 +212,14 @@
 		if errors.Is(err, sandbarrow.ErrStoreUnavailable) {
 			continue
 		}
-		standing, revision, readErr := s.read(ctx, key)
+		current, revision, readErr := s.read(ctx, key)
 		switch {
 		case readErr != nil:
 			continue
-		case standing != nil && standing.Token == c.Token:
+		case current != nil && current.Token == c.Token:
 			return nil
 		}
-		if err := permit(standing); err != nil {
+		if err := permit(current); err != nil {
 			return err
 		}
 		previous = revision
@@ -246,12 +247,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abandoned[token] = now
-	if now.Sub(s.pruned) < abandonLife {
+	if now.Sub(s.abandonedPruned) < abandonedRetention {
 		return
 	}
-	s.pruned = now
+	s.abandonedPruned = now
 	for t, at := range s.abandoned {
-		if now.Sub(at) > abandonLife {
+		if now.Sub(at) > abandonedRetention {
 			delete(s.abandoned, t)
 		}
 	}
@@ -264,18 +265,18 @@
 	return ok
 }
 
-// leaseNow returns the lease for new claims, one per span.
-func (s *Store) leaseNow(ctx context.Context) (sandbarrow.LeaseID, error) {
+// currentLease returns the lease for new claims. It requests a new one every leaseReuse.
+func (s *Store) currentLease(ctx context.Context) (sandbarrow.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lease != "" && boottime.Now().Before(s.leaseEnds) {
+	if s.lease != "" && boottime.Now().Before(s.leaseReusedUntil) {
 		return s.lease, nil
 	}
-	id, err := s.store.GrantLease(ctx, Retention+leaseSpan)
+	id, err := s.store.GrantLease(ctx, Retention+leaseReuse)
 	if err != nil {
 		return "", err
 	}
-	s.lease, s.leaseEnds = id, boottime.Now().Add(leaseSpan)
+	s.lease, s.leaseReusedUntil = id, boottime.Now().Add(leaseReuse)
 	return id, nil
 }
 
--- a/claim/storeclaimer_test.go
+++ b/claim/storeclaimer_test.go
@@ -20,7 +20,7 @@
 
 const id = sandbarrow.RequestID("desk-1/key")
 
-func TestClaimSequences(t *testing.T) {
+func TestStartAfterEarlierCalls(t *testing.T) {
 	started := func(attempt sandbarrow.Attempt, token string) func(s *Store) error {
 		return func(s *Store) error {
 			return s.Start(context.Background(), id, sandbarrow.Claim{Attempt: attempt, Token: token})
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestAbandonedClaimKeepsTheVoid(t *testing.T) {
+func TestAbandonedClaimKeepsEarlierVoid(t *testing.T) {
 	ctx := context.Background()
 	fault := storetest.None
 	s := NewStore(&storetest.Store{Below: store.NewMemory(), Next: func() storetest.Fault { return fault }})
@@ -77,7 +77,7 @@
 	assert.NilError(t, s.Start(ctx, id, sandbarrow.Claim{Attempt: 3, Token: "third"}))
 }
 
-func TestClaimsUnderFaults(t *testing.T) {
+func TestAtMostOneRunUnderStoreFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		kv := store.NewMemory()
 		faults := rapid.SliceOfN(rapid.IntRange(0, 5), 40, 40).Draw(rt, "faults")
@@ -86,59 +86,59 @@
 			calls++
 			return storetest.Fault(faults[calls%len(faults)] % 4)
 		}}
-		// Each of three agents has a claimer of its own.
+		// Each of the three agents has its own claimer.
 		claimers := []*Store{NewStore(faulty), NewStore(faulty), NewStore(faulty)}
 		var ran []sandbarrow.Attempt
-		var promised sandbarrow.Attempt
+		var voidedUpTo sandbarrow.Attempt
 		steps := rapid.IntRange(2, 12).Draw(rt, "steps")
 		for step := range steps {
 			s := claimers[rapid.IntRange(0, 2).Draw(rt, "claimer")]
 			c := sandbarrow.Claim{Attempt: sandbarrow.Attempt(rapid.IntRange(1, 4).Draw(rt, "attempt")), Token: fmt.Sprint(step)}
 			switch rapid.IntRange(0, 2).Draw(rt, "action") {
 			case 0:
-				stands, err := s.Void(context.Background(), id, c)
-				if err == nil && stands.State == sandbarrow.ClaimVoided {
-					promised = max(promised, c.Attempt)
+				current, err := s.Void(context.Background(), id, c)
+				if err == nil && current.State == sandbarrow.ClaimVoided {
+					voidedUpTo = max(voidedUpTo, c.Attempt)
 				}
-			case 1: // claimed, but withdrawn before the start
+			case 1: // claimed, but released without a run
 				if s.Start(context.Background(), id, c) == nil {
 					_ = s.Release(context.Background(), id, c)
 				}
 			default:
 				if s.Start(context.Background(), id, c) == nil {
-					assert.Assert(rt, c.Attempt > promised, "a voided attempt ran")
+					assert.Assert(rt, c.Attempt > voidedUpTo, "a voided attempt ran")
 					ran = append(ran, c.Attempt)
 				}
 			}
 		}
-		assert.Assert(rt, len(ran) <= 1, "ran %v", ran)
+		assert.Assert(rt, len(ran) <= 1, "more than one attempt ran: %v", ran)
 	})
 }
 
-// claimInput is one call of a claimer.
+// claimInput is the input of one call of a claimer.
 type claimInput struct {
 	attempt sandbarrow.Attempt
-	read    bool // finds an attempt started, and changes nothing
+	read    bool // a read that finds an attempt started
 	start   bool
 }
 
 type claimOutput struct {
-	known      bool // an unknown reply permits nothing, but may have taken effect
-	unanswered bool // a write of the call took effect, but its reply was lost
-	won        bool
+	known     bool // if false, the call failed but may have taken effect
+	replyLost bool // a write of the call took effect, but its reply was lost
+	won       bool
 }
 
-// claimModel is a claim as one register: voided up to an attempt, or started.
+// claimModel models a claim as one register, which is voided up to an attempt or started.
 var claimModel = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{0} }, // -1 started, else voided up to
+	Init: func() []any { return []any{0} }, // -1 if started, otherwise voided up to this attempt
 	Step: func(state, input, output any) []any {
 		voided, in, out := state.(int), input.(claimInput), output.(claimOutput)
 		if in.read {
 			return startedOnly(voided)
 		}
-		can := voided >= 0 && (!in.start || int(in.attempt) > voided)
+		permitted := voided >= 0 && (!in.start || int(in.attempt) > voided)
 		next := voided
-		if can {
+		if permitted {
 			next = max(voided, int(in.attempt))
 			if in.start {
 				next = -1
@@ -147,14 +147,14 @@
 		switch {
 		case !out.known:
 			return []any{voided, next}
-		case out.won != can:
+		case out.won != permitted:
 			return nil
 		}
 		return []any{next}
 	},
 }).ToModel()
 
-// startedOnly is the step of a read that finds an attempt started.
+// startedOnly is the model's step for a read that finds an attempt started.
 func startedOnly(voided int) []any {
 	if voided >= 0 {
 		return nil
@@ -162,14 +162,14 @@
 	return []any{voided}
 }
 
-// pointsOf returns the points of effect of the calls of a history. Each call has one,
-// except a void whose write took effect without its reply and that then found a later
-// attempt started: it has the void, which is certain, and the read.
-func pointsOf(calls []porcupine.Operation) []porcupine.Operation {
+// linearizationPoints splits the calls of a history into operations with one linearization point
+// each. Only one kind of call has two: a void whose write took effect but whose reply was lost,
+// and which then read that a later attempt had started. Its points are the void and the read.
+func linearizationPoints(calls []porcupine.Operation) []porcupine.Operation {
 	var points []porcupine.Operation
 	for _, call := range calls {
 		in, out := call.Input.(claimInput), call.Output.(claimOutput)
-		if in.start || !out.known || out.won || !out.unanswered {
+		if in.start || !out.known || out.won || !out.replyLost {
 			points = append(points, call)
 			continue
 		}
@@ -181,33 +181,33 @@
 	return points
 }
 
-// watchedWrites passes calls on for one client and notes writes that take effect
-// without their reply.
-type watchedWrites struct {
+// lostReplyDetector forwards the calls of one client and detects writes that take effect although
+// their reply is lost.
+type lostReplyDetector struct {
 	sandbarrow.Store
-	fault      storetest.Fault // of the call under way
-	unanswered bool
+	fault     storetest.Fault // of the current call
+	replyLost bool
 }
 
-// CompareAndSwap passes on.
-func (w *watchedWrites) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
+// CompareAndSwap forwards the call and records whether its reply will be lost.
+func (w *lostReplyDetector) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
 	revision, err := w.Store.CompareAndSwap(ctx, key, previous, value, lease)
 	if err == nil && w.fault == storetest.Lost {
-		w.unanswered = true
+		w.replyLost = true
 	}
 	return revision, err
 }
 
-// behind returns the store with the faults that next gives.
-func (w *watchedWrites) behind(next func() storetest.Fault) *storetest.Store {
+// withFaults returns the store with the faults that next returns.
+func (w *lostReplyDetector) withFaults(next func() storetest.Fault) *storetest.Store {
 	return &storetest.Store{Below: w, Next: func() storetest.Fault {
 		w.fault = next()
 		return w.fault
 	}}
 }
 
-// TestClaimHistory checks the history of concurrent claims against the model.
-func TestClaimHistory(t *testing.T) {
+// TestConcurrentClaimsAreLinearizable checks histories of concurrent claims against the model.
+func TestConcurrentClaimsAreLinearizable(t *testing.T) {
 	for seed := range uint64(30) {
 		kv := store.NewMemory()
 		var mu sync.Mutex
@@ -216,8 +216,8 @@
 		for client := range 4 {
 			wg.Go(func() {
 				r := rand.New(rand.NewPCG(seed, uint64(client)))
-				w := &watchedWrites{Store: kv}
-				s := NewStore(w.behind(func() storetest.Fault {
+				w := &lostReplyDetector{Store: kv}
+				s := NewStore(w.withFaults(func() storetest.Fault {
 					if r.IntN(4) == 0 {
 						return storetest.Lost
 					}
@@ -232,34 +232,34 @@
 			})
 		}
 		wg.Wait()
-		assert.Assert(t, porcupine.CheckOperations(claimModel, pointsOf(history)), "seed %d: %v", seed, history)
+		assert.Assert(t, porcupine.CheckOperations(claimModel, linearizationPoints(history)), "seed %d: %v", seed, history)
 	}
 }
 
-func claimOnce(s *Store, w *watchedWrites, r *rand.Rand, client int) porcupine.Operation {
+func claimOnce(s *Store, w *lostReplyDetector, r *rand.Rand, client int) porcupine.Operation {
 	in := claimInput{attempt: sandbarrow.Attempt(1 + r.IntN(4)), start: r.IntN(2) == 0}
-	op, _ := recorded(s, w, in, fmt.Sprint(r.Uint64()), client)
+	op, _ := recordedCall(s, w, in, fmt.Sprint(r.Uint64()), client)
 	return op
 }
 
-// recorded makes a call and returns it as it went, with the record that it learnt.
-func recorded(s *Store, w *watchedWrites, in claimInput, token string, client int) (porcupine.Operation, sandbarrow.Claim) {
+// recordedCall makes a call. It returns the call as an operation, and the record that the call returned.
+func recordedCall(s *Store, w *lostReplyDetector, in claimInput, token string, client int) (porcupine.Operation, sandbarrow.Claim) {
 	c := sandbarrow.Claim{Attempt: in.attempt, Token: token}
 	var out claimOutput
-	var stands sandbarrow.Claim
-	w.unanswered = false
+	var current sandbarrow.Claim
+	w.replyLost = false
 	op := porcupine.Operation{Call: time.Now().UnixNano(), ClientId: client, Input: in}
 	if in.start {
 		err := s.Start(context.Background(), id, c)
-		stands, _ = RecordOf(err)
+		current, _ = RecordOf(err)
 		out = claimOutput{known: !errors.Is(err, ErrStore), won: err == nil}
 	} else {
 		var err error
-		stands, err = s.Void(context.Background(), id, c)
-		out = claimOutput{known: err == nil, won: err == nil && stands.State == sandbarrow.ClaimVoided}
+		current, err = s.Void(context.Background(), id, c)
+		out = claimOutput{known: err == nil, won: err == nil && current.State == sandbarrow.ClaimVoided}
 	}
 	op.Return = time.Now().UnixNano()
-	out.unanswered = w.unanswered
+	out.replyLost = w.replyLost
 	op.Output = out
-	return op, stands
+	return op, current
 }
--- a/claim/storereturn.go
+++ b/claim/storerestore.go
@@ -12,13 +12,13 @@
 )
 
 // A store that was restored from an older copy has lost the most recent claims. Each process rewrites the
-// claims that it made, and makes no new ones until the other processes have had time to do so.
+// claims that it made. It makes no new claims until the other processes have had time to rewrite theirs.
 const (
 	// recentRetention is how long claims are kept for rewriting. It exceeds the age of the copies that the
 	// store is restored from.
 	recentRetention = 20 * time.Second
-	// rewriteWindow is the time after a process has detected a restore within which all processes rewrite
-	// their claims. Each one detects it when its watch fails and is retried, after a pause of at most 0.75 s.
+	// rewriteWindow is the time within which all processes rewrite their claims, counted from when one process
+	// has detected a restore. A process detects it when its watch fails and is retried, after at most 0.75 s.
 	rewriteWindow = 2 * time.Second
 	// eraPause is the pause between two checks for a restore.
 	eraPause = 100 * time.Millisecond
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// recordWritten keeps a claim for rewriting, and drops those older than recentRetention.
+// recordWritten keeps a claim for rewriting, and deletes the claims older than recentRetention.
 func (s *Store) recordWritten(id sandbarrow.RequestID, c sandbarrow.Claim) {
 	now := boottime.Now()
 	s.mu.Lock()
@@ -61,7 +61,7 @@
 }
 
 // rewriteClaims writes the recent claims that the store has lost. It returns false if the store did not
-// answer.
+// reply.
 func (s *Store) rewriteClaims(ctx context.Context) bool {
 	s.mu.Lock()
 	claims := map[sandbarrow.RequestID]sandbarrow.Claim{}
--- a/claim/suspension_test.go
+++ b/claim/suspension_test.go
@@ -9,12 +9,12 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-func TestClaimLeaseCountsASuspension(t *testing.T) {
+func TestClaimLeaseReuseIncludesSuspendedTime(t *testing.T) {
 	s := NewStore(store.NewMemory(store.WithMemoryClock(boottime.Now)))
-	first, err := s.leaseNow(t.Context())
+	first, err := s.currentLease(t.Context())
 	assert.NilError(t, err)
-	boottime.Suspend(leaseSpan)
-	second, err := s.leaseNow(t.Context())
+	boottime.Suspend(leaseReuse)
+	second, err := s.currentLease(t.Context())
 	assert.NilError(t, err)
 	assert.Check(t, first != second)
 }
--- a/doc.go
+++ b/doc.go
@@ -1,31 +1,33 @@
-// Package sandbarrow is the root of a serving layer for very many LoRA adapters on a
-// few shared base models. It holds the named types and the interfaces of the
-// coordination parts; their implementations live in the packages below, one job each,
-// and can be embedded on their own.
+// Package sandbarrow is the root of a serving layer for a very large number of LoRA adapters
+// on a few shared base models. It holds the shared types and the interfaces of the
+// coordination components. The implementations are in the packages below. Each package has
+// one purpose and can be embedded on its own.
 //
-// The gateway path, which runs on the users' platform:
+// The packages of the gateway path, which runs on the users' platform:
 //
 //   - gateway: the process between callers and upstreams
-//   - controller: the process beside each engine, which owns its adapter slots
+//   - controller: the process next to each engine, which owns its adapter slots
 //   - enginelink: the messages between the two
-//   - estate, directory, prefixwatch: the operators' state, the list of upstreams, and
-//     the watch of the platform's store that brings both
-//   - route, forward, recall: routes, connections to upstreams, engines' own memory
-//   - platform: the only package that knows the platform's names
-//   - explain: the story of one request, from logs
+//   - estate, directory, prefixwatch: the operators' routes and versions, the list of
+//     upstreams, and the watch of the platform's store that updates both
+//   - route, forward, recall: routes, connections to upstreams, adapter loads from the
+//     engines' own memory
+//   - platform: the only package that contains the platform's names
+//   - explain: the history of one request, reconstructed from logs
 //
-// The entry path, the product's own interface:
+// The packages of the entry path, the product's own interface:
 //
-//   - entry, agent: the processes before callers and beside each upstream
+//   - entry, agent: the process that callers connect to, and the one next to each upstream
 //   - wire: the messages between the two
 //   - config, policy, limit: the operators' configuration and what it permits
-//   - placement, schedule, queueorder, loadbudget: which upstream, and what runs there
-//   - claim, lease: once-only requests, fencing tokens
-//   - store, boxlist, upstream: clients of the outside systems
-//   - burn: service-level burn
+//   - placement, schedule, queueorder, loadbudget: the choice of the upstream, and
+//     scheduling at it
+//   - claim, lease: at-most-once requests, fencing tokens
+//   - store, boxlist, upstream: clients of external systems
+//   - burn: burn rate of service-level objectives
 //
-// Both: evict, retry, settings, jsonc, logging, httpserve.
+// Both paths use evict, retry, settings, jsonc, logging and httpserve.
 //
-// docs/ARCHITECTURE.md draws the programs, docs/DECISIONS.md leads from a question to
-// the function that decides.
+// docs/ARCHITECTURE.md describes the programs. docs/DECISIONS.md lists, for each decision that
+// the system makes, the function that makes it.
 package sandbarrow
--- a/docs_test.go
+++ b/docs_test.go
@@ -14,7 +14,7 @@
 	"sandbarrow.example/sandbarrow/settings"
 )
 
-// The pages for operators and newcomers, and the directories of further ones.
+// The documentation pages, and the directories with design notes and incident reports.
 var (
 	pages = []string{"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/CAPACITY.md", "docs/DECISIONS.md",
 		"docs/FINDINGS.md", "docs/GLOSSARY.md", "docs/OPERATIONS.md", "docs/PROMISES.md"}
@@ -26,7 +26,7 @@
 	testName  = regexp.MustCompile("`(?:[a-z/]* )?((?:Test|Benchmark|Fuzz)[A-Za-z]+)[`/]")
 	metric    = regexp.MustCompile("`(sandbarrow_[a-z_]+)")
 	goFile    = regexp.MustCompile("`([a-z/]+/[a-z_]+\\.go)`")
-	deciders  = regexp.MustCompile("`([a-z/]+\\.go)`((?: ?,? ?`[A-Za-z]+`)+)")
+	decisions = regexp.MustCompile("`([a-z/]+\\.go)`((?: ?,? ?`[A-Za-z]+`)+)")
 	function  = regexp.MustCompile("`([A-Za-z]+)`")
 	command   = regexp.MustCompile("`sandbarrow ([a-z]+)")
 	firstCell = regexp.MustCompile("(?m)^\\| `([a-z][a-z ,]+)`")
@@ -39,7 +39,7 @@
 	return string(text)
 }
 
-// source is the text of all Go files, of tests or of the product.
+// source returns the text of all Go files: of the tests if tests is set, otherwise of the product.
 func source(t *testing.T, tests bool) string {
 	t.Helper()
 	var all strings.Builder
@@ -75,30 +75,30 @@
 		text := read(t, page)
 		for _, m := range link.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(page), m[1]))
-			assert.Check(t, err == nil, "%s links to %s", page, m[1])
+			assert.Check(t, err == nil, "%s links to %s, which does not exist", page, m[1])
 		}
 		for _, m := range testName.FindAllStringSubmatch(text, -1) {
-			assert.Check(t, strings.Contains(tests, "func "+m[1]+"("), "%s names the test %s", page, m[1])
+			assert.Check(t, strings.Contains(tests, "func "+m[1]+"("), "%s names test %s, which does not exist", page, m[1])
 		}
 		for _, m := range command.FindAllStringSubmatch(text, -1) {
-			assert.Check(t, strings.Contains(product, `, "`+m[1]+`", "`), "%s names the command %s", page, m[1])
+			assert.Check(t, strings.Contains(product, `, "`+m[1]+`", "`), "%s names command %s, which does not exist", page, m[1])
 		}
 		if !slices.Contains(pages, page) {
-			continue // notes and incidents may tell of what was
+			continue // design notes and incident reports may name removed metrics and files
 		}
 		for _, m := range metric.FindAllStringSubmatch(text, -1) {
-			assert.Check(t, strings.Contains(product, `"`+m[1]+`"`), "%s names the metric %s", page, m[1])
+			assert.Check(t, strings.Contains(product, `"`+m[1]+`"`), "%s names metric %s, which does not exist", page, m[1])
 		}
 		for _, m := range goFile.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(m[1])
-			assert.Check(t, err == nil, "%s names the file %s", page, m[1])
+			assert.Check(t, err == nil, "%s names file %s, which does not exist", page, m[1])
 		}
 	}
 }
 
 func TestDecisionsExist(t *testing.T) {
-	found := deciders.FindAllStringSubmatch(read(t, "docs/DECISIONS.md"), -1)
-	assert.Assert(t, len(found) > 30, "%d places are named", len(found))
+	found := decisions.FindAllStringSubmatch(read(t, "docs/DECISIONS.md"), -1)
+	assert.Assert(t, len(found) > 30, "docs/DECISIONS.md names only %d files", len(found))
 	for _, m := range found {
 		text := read(t, m[1])
 		for _, name := range function.FindAllStringSubmatch(m[2], -1) {
@@ -114,9 +114,9 @@
 	begin, end := strings.Index(text, "## Log events"), strings.Index(text, "## From a failed request")
 	assert.Assert(t, begin >= 0 && end > begin)
 	found := firstCell.FindAllStringSubmatch(text[begin:end], -1)
-	assert.Assert(t, len(found) > 20, "%d events are listed", len(found))
+	assert.Assert(t, len(found) > 20, "docs/OPERATIONS.md lists only %d log events", len(found))
 	for _, m := range found {
-		assert.Check(t, strings.Contains(product, `"`+m[1]+`"`), "nothing writes %q", m[1])
+		assert.Check(t, strings.Contains(product, `"`+m[1]+`"`), "no Go file contains log event %q", m[1])
 	}
 }
 
@@ -143,24 +143,24 @@
 	}
 	keys := settingsKeys(reflect.TypeFor[settings.Settings](), "")
 	for _, key := range keys {
-		assert.Check(t, named[key], "%s is not documented", key)
+		assert.Check(t, named[key], "setting %s is not documented", key)
 	}
 	for key := range named {
-		assert.Check(t, slices.Contains(keys, key), "%s is no setting", key)
+		assert.Check(t, slices.Contains(keys, key), "docs/OPERATIONS.md documents %s, which is not a setting", key)
 	}
 }
 
-// settingsKeys lists the keys below a type of the settings.
-func settingsKeys(of reflect.Type, prefix string) []string {
-	if of.Kind() == reflect.Pointer {
-		of = of.Elem()
+// settingsKeys returns the keys of a settings type, each with the given prefix.
+func settingsKeys(settingsType reflect.Type, prefix string) []string {
+	if settingsType.Kind() == reflect.Pointer {
+		settingsType = settingsType.Elem()
 	}
-	if of.Kind() != reflect.Struct {
+	if settingsType.Kind() != reflect.Struct {
 		return []string{strings.TrimSuffix(prefix, ".")}
 	}
 	var keys []string
-	for i := range of.NumField() {
-		field := of.Field(i)
+	for i := range settingsType.NumField() {
+		field := settingsType.Field(i)
 		keys = append(keys, settingsKeys(field.Type, prefix+field.Tag.Get("json")+".")...)
 	}
 	return keys
--- a/headernames.go
+++ b/headernames.go
@@ -1,41 +1,41 @@
 package sandbarrow
 
-// HeaderNames are the names of the headers that callers, gateways and upstreams
-// exchange about a request.
+// HeaderNames holds the names of the HTTP headers that callers, gateways and upstreams
+// exchange with a request or its response.
 type HeaderNames struct {
-	// Authorization holds the caller's key. Upstreams never see it where keys are needed.
+	// Authorization holds the caller's key. If keys are required, it is not forwarded to upstreams.
 	Authorization string
-	// Deadline holds the milliseconds that the caller still waits.
+	// Deadline holds the time that the caller will still wait, in milliseconds.
 	Deadline string
 	// ExpectInstance names the only instance that may run the request.
 	ExpectInstance string
 	// ExpectVersion holds the adapter version that must run the request.
 	ExpectVersion string
-	// Instance names the instance that answers.
+	// Instance names the instance that responds.
 	Instance string
-	// LastEvent holds the id of the last event that the caller has of a stream.
+	// LastEvent holds the id of the last event of a stream that the caller has received.
 	LastEvent string
-	// Model holds a base model, or a base model, a slash and an adapter.
+	// Model holds a base model, optionally followed by a slash and an adapter.
 	Model string
-	// MoveFrom holds the address of another engine, from which the engine takes what
-	// that one keeps of the prompt.
+	// MoveFrom holds the address of another engine, from which the engine fetches the cached
+	// prefix of the prompt.
 	MoveFrom string
-	// NotRun marks an answer to a request that the upstream did not run.
+	// NotRun marks the response to a request that the upstream did not run.
 	NotRun string
-	// Priority is 0 for the most urgent.
+	// Priority holds the request's priority; 0 is the most urgent.
 	Priority string
 	// Prompt lists the parts of the prompt.
 	Prompt string
-	// RequestID names the request, for callers and upstreams alike.
+	// RequestID identifies the request, for callers and upstreams alike.
 	RequestID string
-	// Reserved lists the headers that only a gateway may set towards an upstream, in
-	// canonical form; those that callers send are dropped.
+	// Reserved lists the headers, in canonical form, that only a gateway may set on a request
+	// to an upstream. They are removed from the requests of callers.
 	Reserved []string
-	// Signature proves that an upstream made the answer.
+	// Signature proves that an upstream created the response.
 	Signature string
-	// Tokens holds the prompt's tokens and the most that may be produced.
+	// Tokens holds the number of tokens in the prompt and the maximum number to generate.
 	Tokens string
-	// Workspace names the workspace that the caller's key belongs to. Only a gateway sets
-	// it, whatever callers send.
+	// Workspace names the workspace that the caller's key belongs to. A gateway always sets
+	// it itself and ignores the value that a caller sends.
 	Workspace string
 }
--- a/ids.go
+++ b/ids.go
@@ -8,55 +8,55 @@
 	"github.com/juju/errors"
 )
 
-// AdapterID names a LoRA adapter.
+// AdapterID identifies a LoRA adapter.
 type AdapterID string
 
-// Attempt counts the tries of one request, from 1.
+// Attempt numbers the attempts of one request, from 1.
 type Attempt uint32
 
-// BaseModelID names a base model that adapters are trained on.
+// BaseModelID identifies a base model that adapters are trained on.
 type BaseModelID string
 
-// BoxID names a box, the machine that a process runs on.
+// BoxID identifies a box, the machine that a process runs on.
 type BoxID string
 
 // CallerClass names a group of callers that share priority and limits.
 type CallerClass string
 
-// CallerID names a caller, the customer that sends requests.
+// CallerID identifies a caller, the customer that sends requests.
 type CallerID string
 
 // Digest is the lower-case hexadecimal SHA-256 of a value.
 type Digest string
 
-// FailureDomain names a set of boxes that may fail together.
+// FailureDomain identifies a set of boxes that may fail together.
 type FailureDomain string
 
 // FencingToken orders the holders of one lease; a higher token is newer.
 type FencingToken uint64
 
-// Incarnation names one run of an agent process.
+// Incarnation identifies one run of an agent process.
 type Incarnation string
 
-// PolicyID names a policy of the operators.
+// PolicyID identifies a policy set by the operators.
 type PolicyID string
 
-// RequestID names one request of one caller.
+// RequestID identifies one request of one caller.
 type RequestID string
 
 // Revision numbers accepted configurations, from 1.
 type Revision uint64
 
-// ServiceID names a plain service.
+// ServiceID identifies a plain service.
 type ServiceID string
 
-// UpstreamID names an upstream, a back end behind one agent.
+// UpstreamID identifies an upstream, a back end behind one agent.
 type UpstreamID string
 
-// VersionID names a version of an adapter.
+// VersionID identifies a version of an adapter.
 type VersionID string
 
-// WorkspaceID names a workspace, the customer that a caller's key belongs to.
+// WorkspaceID identifies a workspace, the customer that a caller's key belongs to.
 type WorkspaceID string
 
 // DigestOf computes the digest of a value.
@@ -65,16 +65,16 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// modelRefSeparator stands between adapter and version in a ModelRef's text.
+// modelRefSeparator separates the adapter from the version in the text form of a ModelRef.
 const modelRefSeparator = "@"
 
-// ModelRef names one version of one adapter.
+// ModelRef identifies one version of one adapter.
 type ModelRef struct {
 	Adapter AdapterID `json:"adapter"`
 	Version VersionID `json:"version"`
 }
 
-// ParseModelRef reads the text form "adapter@version".
+// ParseModelRef parses the text form "adapter@version".
 func ParseModelRef(s string) (ModelRef, error) {
 	adapter, version, ok := strings.Cut(s, modelRefSeparator)
 	if !ok || adapter == "" || version == "" {
@@ -83,7 +83,7 @@
 	return ModelRef{Adapter: AdapterID(adapter), Version: VersionID(version)}, nil
 }
 
-// IsZero reports whether r names nothing, as for plain services.
+// IsZero reports whether r is empty, as it is for plain services.
 func (r ModelRef) IsZero() bool {
 	return r == ModelRef{}
 }
--- a/indexset.go
+++ b/indexset.go
@@ -7,7 +7,7 @@
 	words []uint64
 }
 
-// Add puts i into the set.
+// Add adds i to the set.
 func (s *IndexSet) Add(i int) {
 	for len(s.words) <= i/wordBits {
 		s.words = append(s.words, 0)
--- a/instance.go
+++ b/instance.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// ListedID is the id under which an upstream lists itself. It may start again under it.
+// ListedID is the id under which an upstream is listed. A restarted upstream may keep its id.
 type ListedID string
 
-// UnixMillis is a time of day in milliseconds since 1970; 0 means not known.
+// UnixMillis is a Unix time in milliseconds; 0 means unknown.
 type UnixMillis int64
 
-// InstanceID names one start of an upstream: its ListedID and when it started, where it
-// says so. All that is remembered of an upstream is remembered of an InstanceID, since one
-// that has started again holds and knows nothing of before.
+// InstanceID identifies one start of an upstream. It consists of the ListedID and, if the
+// upstream reports it, the start time. All state about an upstream is keyed by InstanceID,
+// because a restarted upstream has lost the state it had before.
 type InstanceID string
 
-// startSeparator stands between the parts of an InstanceID.
+// startSeparator separates the ListedID from the start time in an InstanceID.
 const startSeparator = "@"
 
-// NewInstanceID names the start of an upstream at a time.
+// NewInstanceID returns the id of the upstream that started at the given time.
 func NewInstanceID(id ListedID, started UnixMillis) InstanceID {
 	if started == 0 {
 		return InstanceID(id)
@@ -27,7 +27,7 @@
 	return InstanceID(string(id) + startSeparator + strconv.FormatInt(int64(started), 10))
 }
 
-// Listed is the id under which the instance lists itself, by which others address it.
+// Listed returns the id under which the instance is listed. Other processes address it by that id.
 func (i InstanceID) Listed() ListedID {
 	id, _, _ := strings.Cut(string(i), startSeparator)
 	return ListedID(id)
@@ -40,8 +40,8 @@
 	return UnixMillis(number)
 }
 
-// Is reports whether two ids may name the same start: those that do, and those of the same
-// upstream where one does not say when it started.
+// Matches reports whether two ids may identify the same start. They do if they are equal, or if
+// they have the same ListedID and at least one has no start time.
 func (i InstanceID) Is(other InstanceID) bool {
 	if i == other {
 		return true
@@ -51,53 +51,53 @@
 	return id == otherID && (!known || !otherKnown || started == otherStarted)
 }
 
-// AdapterVersion numbers the versions of an adapter; 0 means not known.
+// AdapterVersion numbers the versions of an adapter; 0 means unknown.
 type AdapterVersion uint64
 
-// ModelVersion numbers the versions of a base model's weights; 0 means not known.
+// ModelVersion numbers the versions of a base model's weights; 0 means unknown.
 type ModelVersion uint64
 
-// AdapterKey names an adapter of a base model.
+// AdapterKey identifies an adapter of a base model.
 type AdapterKey struct {
 	Adapter AdapterID   `json:"adapter"`
 	Model   BaseModelID `json:"model"`
 }
 
-// LoadedAdapter is an adapter version that an engine holds.
+// LoadedAdapter is an adapter version that an engine has loaded.
 type LoadedAdapter struct {
 	Adapter AdapterID
 	Version AdapterVersion
 }
 
-// LoadedModel is a base model that an engine holds, with its adapters.
+// LoadedModel is a base model that an engine has loaded, with its loaded adapters.
 type LoadedModel struct {
 	Adapters []LoadedAdapter
 	Model    BaseModelID
-	// Version is that of the base model's weights. It differs between engines: each has
-	// what was the newest when it loaded the model, and keeps it until it restarts.
+	// Version is the version of the base model's weights. It differs between engines: each
+	// engine loads the version that is the newest at that time, and keeps it until it restarts.
 	Version ModelVersion
 }
 
-// Instance is one upstream as it is listed.
+// Instance is the list entry of an upstream.
 type Instance struct {
 	Address       string
 	FailureDomain FailureDomain
 	ID            InstanceID
-	// Draining says that the upstream accepts no new requests.
+	// Draining reports that the upstream accepts no new requests.
 	Draining bool
 	Models   []LoadedModel
 	Service  ServiceID
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests that can run concurrently.
 	Slots int
 }
 
-// InstanceList translates the keys of the platform's store that describe
+// InstanceList parses the keys and values of the platform's store that describe
 // upstreams.
 type InstanceList interface {
-	// Instance reads one item; a removed or malformed item is an error.
+	// Instance parses one item. It returns an error if the item is deleted or malformed.
 	Instance(item KeyItem) (Instance, error)
-	// ListedID returns the upstream that a key is about.
+	// ListedID returns the id of the upstream that a key describes.
 	ListedID(key string) ListedID
-	// Prefix is the prefix of the keys.
+	// Prefix returns the prefix of the keys.
 	Prefix() string
 }
--- a/instance_test.go
+++ b/instance_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestInstanceID(t *testing.T) {
+func TestInstanceIDMatchesSameStart(t *testing.T) {
 	first, second, unknown := NewInstanceID("i", 100), NewInstanceID("i", 200), NewInstanceID("i", 0)
 	assert.Equal(t, first.Listed(), ListedID("i"))
 	assert.Equal(t, unknown, InstanceID("i"))
@@ -17,7 +17,7 @@
 		{first, first, true}, {first, second, false}, {first, unknown, true}, {unknown, second, true}, {unknown, unknown, true},
 		{first, NewInstanceID("j", 100), false}, {unknown, NewInstanceID("j", 0), false},
 	} {
-		assert.Equal(t, test.a.Is(test.b), test.want, "%s and %s", test.a, test.b)
-		assert.Equal(t, test.b.Is(test.a), test.want, "%s and %s", test.b, test.a)
+		assert.Equal(t, test.a.Is(test.b), test.want, "%s matches %s", test.a, test.b)
+		assert.Equal(t, test.b.Is(test.a), test.want, "%s matches %s", test.b, test.a)
 	}
 }
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,4 +1,4 @@
-// Package decay counts what fades with time, by half in each half-life.
+// Package decay counts events with exponential decay: a count halves in each half-life.
 package decay
 
 import (
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Factor is what is left of something after a time.
+// Factor returns the fraction that remains after the elapsed time.
 func Factor(elapsed, halfLife time.Duration) float64 {
 	return math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 }
 
-// Count is a decayed count. Its zero value is empty.
+// Count is an exponentially decayed count. Its zero value is a count of 0.
 type Count struct {
 	at    time.Time
 	count float64
 }
 
-// Value is the count at a time.
+// Value returns the count at the time now.
 func (c Count) Value(now time.Time, halfLife time.Duration) float64 {
 	return c.count * Factor(now.Sub(c.at), halfLife)
 }
 
-// Add counts one more and returns the count.
+// Add adds one to the count and returns it.
 func (c *Count) Add(now time.Time, halfLife time.Duration) float64 {
 	c.count, c.at = c.Value(now, halfLife)+1, now
 	return c.count
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCountHalves(t *testing.T) {
+func TestCountHalvesInHalfLife(t *testing.T) {
 	const halfLife = 10 * time.Second
 	var c Count
 	now := time.Now()
--- a/internal/storeera/storeera.go
+++ b/internal/storeera/storeera.go
@@ -1,5 +1,5 @@
-// Package storeera tracks the era of the platform's store from the answers that this process receives. It
-// owns which era is the current one and when this process first saw it. The clients of the store use it.
+// Package storeera tracks the era of the platform's store from the responses that this process receives. It
+// owns the current era and the time at which this process first saw it. The clients of the store use it.
 package storeera
 
 import (
@@ -14,10 +14,10 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// Tracker keeps the latest era seen. It is safe for concurrent use.
+// Tracker records the latest era seen. It is safe for concurrent use.
 type Tracker struct {
 	mu sync.Mutex
-	// changed closes when a later era is seen.
+	// changed is closed when a later era is seen.
 	changed chan struct{}
 	era     sandbarrow.StoreEra
 	// first reports whether no earlier era was seen.
@@ -26,7 +26,7 @@
 	since time.Time
 }
 
-// NewTracker returns a Tracker that has seen no answer.
+// NewTracker returns a Tracker that has seen no response.
 func NewTracker() *Tracker {
 	return &Tracker{changed: make(chan struct{}), first: true}
 }
@@ -38,8 +38,8 @@
 	return t.era
 }
 
-// Observe parses the era of an answer, records it if it is later than the current one, and returns it. An
-// empty text yields the current era. A delayed answer may be of an earlier era.
+// Observe parses the era of a response, records it if it is later than the current one, and returns it. An
+// empty text yields the current era. A delayed response may be of an earlier era.
 func (t *Tracker) Observe(text string) (sandbarrow.StoreEra, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // Since returns when this process first saw the current era, on a clock that includes time suspended, and
-// whether this is the first era it has seen. The time is zero before the first answer.
+// whether this is the first era it has seen. The time is zero before the first response.
 func (t *Tracker) Since() (since time.Time, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,9 +74,9 @@
 func (t *Tracker) WithinEra(ctx context.Context, era sandbarrow.StoreEra) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	t.mu.Lock()
-	changed, passed := t.changed, t.era > era
+	changed, superseded := t.changed, t.era > era
 	t.mu.Unlock()
-	if passed {
+	if superseded {
 		cancel()
 		return ctx, cancel
 	}
--- a/internal/storeera/storeera_test.go
+++ b/internal/storeera/storeera_test.go
@@ -8,7 +8,7 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-func TestTracker(t *testing.T) {
+func TestTrackerKeepsLatestEra(t *testing.T) {
 	tracker := NewTracker()
 	since, first := tracker.Since()
 	assert.Assert(t, since.IsZero() && first)
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -1,7 +1,7 @@
-// Package lease holds a lease on a key of the platform's store; the store's revision of
-// the key is the fencing token. It owns one lease a Holder and relies on
-// sandbarrow.Store and a monotonic clock; agents use it. docs/design/membership.md has
-// what was weighed.
+// Package lease holds a lease on a key of the platform's store. The key's revision in the
+// store is the fencing token. Each Holder owns one lease and depends on
+// sandbarrow.LeaseStore and a monotonic clock. Agents use the package.
+// docs/design/membership.md explains the design.
 package lease
 
 import (
@@ -18,40 +18,40 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// State says what a Holder knows of its lease.
+// State is the state of a Holder's lease.
 type State string
 
 // The states of a Holder.
 const (
-	// Held means that nobody else can hold the lease now.
+	// Held means that no other holder can have the lease now.
 	Held State = "held"
-	// Lost means that another may hold the lease, or that none was held yet.
+	// Lost means that another holder may have the lease, or that this one never had it.
 	Lost State = "lost"
-	// Outage means that the lease lapsed while the store can't be reached.
+	// Outage means that the lease expired while the store was unreachable.
 	Outage State = "outage"
 )
 
 const (
-	// marginShare is the share of the ttl that a lease ends early here, for the time that an order
-	// is on its way and for clocks that drift.
-	marginShare = 4
-	// renewShare is the share of the ttl between renewals.
-	renewShare = 3
+	// marginDivisor sets the safety margin: a Holder stops using a lease ttl/marginDivisor before it
+	// expires. The margin covers the transit time of an order and clock drift.
+	marginDivisor = 4
+	// renewDivisor sets the time between renewals: ttl/renewDivisor.
+	renewDivisor = 3
 )
 
-// Grant is the answer of a Holder at one moment.
+// Grant is the result of Check.
 type Grant struct {
 	State State
-	// Token is the newest fencing token; 0 before the first, also in an outage.
+	// Token is the newest fencing token, also in an outage. It is 0 before the first lease.
 	Token sandbarrow.FencingToken
 }
 
-// Holder acquires and keeps one lease. It is safe for concurrent use.
+// Holder acquires and renews one lease. It is safe for concurrent use.
 type Holder struct {
 	key    string
 	logger *slog.Logger
 	now    func() time.Time
-	// owner begins the value of the key; see WithOwner.
+	// owner is the first part of the key's value; see WithOwner.
 	owner string
 	store sandbarrow.LeaseStore
 	ttl   time.Duration
@@ -60,45 +60,46 @@
 	mu       sync.Mutex
 	lease    sandbarrow.LeaseID
 	failedAt time.Time
-	// leasedUntil is the earliest time at which the store may end the last lease, leasedEra is
-	// the era of that lease. forget keeps both.
+	// leasedUntil is the earliest time at which the store may end the last lease, and leasedEra is
+	// the era of that lease. clearLease leaves both unchanged.
 	leasedEra   sandbarrow.StoreEra
 	leasedUntil time.Time
-	// notBefore is the time until which a holder of an earlier era may still act.
+	// notBefore is the time until which a holder of an earlier era may still use its lease.
 	notBefore time.Time
 	// observed is the newest token passed to ObserveToken.
 	observed sandbarrow.FencingToken
-	// storedValue is the key's value written under the lease.
+	// storedValue is the value that was written to the key with the lease.
 	storedValue string
 	token       sandbarrow.FencingToken
-	until       time.Time
+	heldUntil   time.Time
 }
 
-// Option changes a Holder.
+// Option configures a Holder.
 type Option func(*Holder)
 
-// WithClock replaces boottime.Now, whose readings must be monotonic.
+// WithClock replaces the default clock, boottime.Now. The clock must be monotonic.
 func WithClock(now func() time.Time) Option {
 	return func(h *Holder) { h.now = now }
 }
 
-// WithOwner names whoever runs at most one holder of the key at a time, as a box that
-// starts a process again only after the last one has ended. A holder that finds the key
-// with its own owner takes the lease over at once: its predecessor can't act any more.
+// WithOwner sets the owner of the holder. An owner must run at most one holder of the key at
+// a time, like a box that restarts a process only after the previous one has exited. If the
+// key has the same owner, the holder takes over the lease immediately, because the previous
+// holder no longer runs.
 func WithOwner(owner string) Option {
 	return func(h *Holder) { h.owner = owner }
 }
 
-// ownerSeparator stands between the parts of a value that names its owner: owner, holder,
+// ownerSeparator separates the parts of a value that includes an owner: owner, holder and
 // lease.
 const ownerSeparator = " "
 
-// IsOwnedBy reports whether a key's value was written by a holder with an owner.
+// IsOwnedBy reports whether a key's value was written by a holder with the given owner.
 func IsOwnedBy(value []byte, owner string) bool {
 	return owner != "" && strings.HasPrefix(string(value), owner+ownerSeparator)
 }
 
-// NewHolder returns a holder that has no lease until Run.
+// NewHolder returns a holder. It has no lease until Run or Step acquires one.
 func NewHolder(s sandbarrow.LeaseStore, key string, ttl time.Duration, logger *slog.Logger, options ...Option) *Holder {
 	h := &Holder{key: key, logger: logger, now: boottime.Now, store: s, ttl: ttl, value: uuid.NewString()}
 	for _, o := range options {
@@ -107,41 +108,41 @@
 	return h
 }
 
-// Check decides whether an order may be sent now, by the lease alone: Held until a
-// quarter of its life before its end, Outage when it lapsed while the store could not
-// be reached, else Lost. A lease that was acquired after a restore of the store is Held only
-// once any lease that the store has lost must have lapsed. Ask right before each order is
-// sent.
+// Check decides from the lease alone whether an order may be sent now. Call it right before
+// each order. The state is Held until a quarter of the ttl before the lease expires. It is
+// Outage if the lease expired while the store was unreachable, and Lost otherwise. A lease that
+// was acquired after a restore of the store becomes Held only when every lease that the store
+// may have lost in the restore has expired.
 func (h *Holder) Check() Grant {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
 	switch {
-	case h.token != 0 && now.Before(h.until) && !now.Before(h.notBefore):
+	case h.token != 0 && now.Before(h.heldUntil) && !now.Before(h.notBefore):
 		return Grant{State: Held, Token: h.token}
-	case h.failedAt.After(h.until):
+	case h.failedAt.After(h.heldUntil):
 		return Grant{State: Outage, Token: h.token}
 	default:
 		return Grant{State: Lost, Token: h.token}
 	}
 }
 
-// Leased reports whether there is a lease that the store may still keep: it has not said
-// that it ended, and Release was not called.
+// Leased reports whether the store may still have the holder's lease: the store has not
+// reported its end, and Release was not called.
 func (h *Holder) Leased() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease != ""
 }
 
-// Run acquires and renews the lease until ctx ends, then gives it back.
+// Run acquires and renews the lease until ctx ends, and then releases it.
 func (h *Holder) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := h.Step(ctx); err != nil && ctx.Err() == nil {
 			h.logger.Warn("lease not renewed", "key", h.key, "error", err.Error())
 		}
 		select {
-		case <-time.After(h.ttl / renewShare):
+		case <-time.After(h.ttl / renewDivisor):
 		case <-ctx.Done():
 		}
 	}
@@ -149,14 +150,14 @@
 	return nil
 }
 
-// Step renews the lease, or acquires it where there is none.
+// Step renews the lease, or acquires one if the holder has none.
 func (h *Holder) Step(ctx context.Context) error {
 	h.mu.Lock()
 	id := h.lease
 	h.mu.Unlock()
 	err := h.renew(ctx, id)
 	if errors.Is(err, sandbarrow.ErrStoreLeaseLost) {
-		h.forget()
+		h.clearLease()
 		err = h.acquire(ctx)
 	}
 	if errors.Is(err, sandbarrow.ErrStoreUnavailable) || errors.Is(err, sandbarrow.ErrStoreUnknown) {
@@ -171,7 +172,7 @@
 	if id == "" {
 		return sandbarrow.ErrStoreLeaseLost
 	}
-	asked := h.now()
+	sentAt := h.now()
 	era, err := h.store.RenewLease(ctx, id)
 	if err != nil {
 		return err
@@ -187,20 +188,20 @@
 		return nil // released during the call
 	}
 	if id != h.lease {
-		h.awaitEarlierHolders(era)
+		h.delayForEarlierHolders(era)
 	}
-	h.setLease(id, asked)
+	h.setLease(id, sentAt)
 	return nil
 }
 
-// setLease records a lease that the store granted or renewed on a call begun at asked. The caller holds mu.
-func (h *Holder) setLease(id sandbarrow.LeaseID, asked time.Time) {
-	h.lease, h.leasedEra, h.leasedUntil = id, id.Era(), asked.Add(h.ttl)
-	h.until = h.leasedUntil.Add(-h.ttl / marginShare)
+// setLease records a lease that the store granted or renewed by a call sent at sentAt. The caller holds mu.
+func (h *Holder) setLease(id sandbarrow.LeaseID, sentAt time.Time) {
+	h.lease, h.leasedEra, h.leasedUntil = id, id.Era(), sentAt.Add(h.ttl)
+	h.heldUntil = h.leasedUntil.Add(-h.ttl / marginDivisor)
 }
 
 // readLease returns the key's lease after a restore of the store, if the key still has this holder's value.
-// The restored copy may be older than the lease, and another lease may have got its name.
+// The restored copy may be older than the lease, and another lease may have the same name.
 func (h *Holder) readLease(ctx context.Context) (sandbarrow.LeaseID, error) {
 	item, err := h.store.Get(ctx, h.key)
 	if errors.Is(err, sandbarrow.ErrStoreNotFound) {
@@ -220,52 +221,52 @@
 	return sandbarrow.NewLeaseID(item.Revision.Era(), h.lease.Name()), nil
 }
 
-// ObserveToken records a token that some holder is known to have had. If the token is of an earlier era, its
-// lease may have been lost by the store, so that its holder may act until the lease must have lapsed.
+// ObserveToken records a token of any holder of the key. If the token is of an earlier era, the store may
+// have lost its lease. That holder may then use the lease until it has expired.
 func (h *Holder) ObserveToken(token sandbarrow.FencingToken) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.observed = max(h.observed, token)
 }
 
-// awaitEarlierHolders delays the use of the lease until the leases of earlier eras must have lapsed, as the
-// store has renewed none of them since its era began. There is no delay if no earlier era is known, or if
-// this holder itself had the lease when the era began. The caller holds mu.
-func (h *Holder) awaitEarlierHolders(era sandbarrow.StoreEra) {
+// delayForEarlierHolders delays the use of the lease until the leases of earlier eras have expired. The
+// store has renewed none of them since the current era began. There is no delay if no earlier era is known,
+// or if this holder itself had the lease when the era began. The caller holds mu.
+func (h *Holder) delayForEarlierHolders(era sandbarrow.StoreEra) {
 	since, first := h.store.EraSince()
-	known := h.observed != 0 && sandbarrow.StoreRevision(h.observed).Era() < era
-	ownBefore := h.leasedEra+1 == era && h.leasedUntil.After(since)
-	if first && !known || ownBefore {
+	earlierKnown := h.observed != 0 && sandbarrow.StoreRevision(h.observed).Era() < era
+	hadLease := h.leasedEra+1 == era && h.leasedUntil.After(since)
+	if first && !earlierKnown || hadLease {
 		return
 	}
 	h.notBefore = since.Add(h.ttl)
 }
 
-// forget drops a lease that the store has ended. The token is kept: until
-// another holder acts, no newer one is known.
-func (h *Holder) forget() {
+// clearLease clears a lease that the store has ended. The token stays, because no newer
+// one is known until another holder uses its lease.
+func (h *Holder) clearLease() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lease = ""
-	h.until = time.Time{}
+	h.heldUntil = time.Time{}
 	h.failedAt = time.Time{}
 }
 
 func (h *Holder) acquire(ctx context.Context) error {
-	asked := h.now()
+	sentAt := h.now()
 	id, err := h.store.GrantLease(ctx, h.ttl)
 	if err != nil {
 		return err
 	}
 	value := h.valueWith(id)
 	revision, err := h.store.CompareAndSwap(ctx, h.key, 0, []byte(value), id)
-	if errors.Is(err, sandbarrow.ErrStoreConflict) && h.endPredecessor(ctx) {
+	if errors.Is(err, sandbarrow.ErrStoreConflict) && h.revokePredecessor(ctx) {
 		revision, err = h.store.CompareAndSwap(ctx, h.key, 0, []byte(value), id)
 	}
 	if err != nil {
 		item, readErr := h.store.Get(ctx, h.key)
 		if readErr != nil || string(item.Value) != value {
-			// The grant must not outlive this try: a lost swap may still land under it.
+			// Revoke the lease, because a delayed write may still take effect under it.
 			_ = h.store.RevokeLease(ctx, id)
 			return err
 		}
@@ -273,15 +274,15 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.awaitEarlierHolders(revision.Era())
-	h.setLease(id, asked)
+	h.delayForEarlierHolders(revision.Era())
+	h.setLease(id, sentAt)
 	h.storedValue = value
 	h.token = sandbarrow.FencingToken(revision)
 	h.logger.Info("lease acquired", "key", h.key, "token", uint64(h.token))
 	return nil
 }
 
-// valueWith is the key's value under a lease.
+// valueWith returns the value to write to the key with the lease.
 func (h *Holder) valueWith(id sandbarrow.LeaseID) string {
 	if h.owner == "" {
 		return h.value + string(id)
@@ -289,9 +290,9 @@
 	return strings.Join([]string{h.owner, h.value, string(id)}, ownerSeparator)
 }
 
-// endPredecessor ends the lease of a holder with the same owner, and reports whether it
-// did.
-func (h *Holder) endPredecessor(ctx context.Context) bool {
+// revokePredecessor revokes the lease of a holder with the same owner. It reports whether that
+// lease is revoked.
+func (h *Holder) revokePredecessor(ctx context.Context) bool {
 	item, err := h.store.Get(ctx, h.key)
 	if err != nil || !IsOwnedBy(item.Value, h.owner) {
 		return false
@@ -306,11 +307,11 @@
 	return err == nil || errors.Is(err, sandbarrow.ErrStoreLeaseLost)
 }
 
-// Release gives the lease back, which lets the next holder in at once.
+// Release revokes the lease, if there is one. Another holder can then acquire it immediately.
 func (h *Holder) Release() {
 	h.mu.Lock()
 	id := h.lease
-	h.lease, h.until, h.failedAt = "", time.Time{}, time.Time{}
+	h.lease, h.heldUntil, h.failedAt = "", time.Time{}, time.Time{}
 	h.mu.Unlock()
 	if id == "" {
 		return
@@ -318,6 +319,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := h.store.RevokeLease(ctx, id); err != nil {
-		h.logger.Warn("lease not given back", "key", h.key, "error", err.Error())
+		h.logger.Warn("lease not released", "key", h.key, "error", err.Error())
 	}
 }
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -16,9 +16,9 @@
 
 const ttl = 4 * time.Second
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func TestOneHolder(t *testing.T) {
+func TestAtMostOneHolderUnderStoreFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
@@ -27,12 +27,12 @@
 			Next:  func() storetest.Fault { return storetest.Fault(rapid.IntRange(0, 7).Draw(rt, "fault") % 5 % 4) },
 		}
 		holders := []*Holder{
-			NewHolder(faulty, "k", ttl, quiet(), WithClock(clock)),
-			NewHolder(faulty, "k", ttl, quiet(), WithClock(clock)),
+			NewHolder(faulty, "k", ttl, discardLogger(), WithClock(clock)),
+			NewHolder(faulty, "k", ttl, discardLogger(), WithClock(clock)),
 		}
 		newest := Grant{}
 		for range rapid.IntRange(5, 40).Draw(rt, "steps") {
-			if rapid.Bool().Draw(rt, "pass") {
+			if rapid.Bool().Draw(rt, "advance clock") {
 				now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(rt, "ms")) * time.Millisecond)
 			} else {
 				_ = holders[rapid.IntRange(0, 1).Draw(rt, "holder")].Step(context.Background())
@@ -45,24 +45,24 @@
 					newest = g
 				}
 			}
-			assert.Assert(rt, held <= 1, "two holders")
+			assert.Assert(rt, held <= 1, "both holders have the lease")
 		}
 	})
 }
 
-func TestStates(t *testing.T) {
+func TestHolderStates(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	next := storetest.None
 	s := &storetest.Store{Below: store.NewMemory(store.WithMemoryClock(clock)), Next: func() storetest.Fault { return next }}
-	h := NewHolder(s, "k", ttl, quiet(), WithClock(clock))
+	h := NewHolder(s, "k", ttl, discardLogger(), WithClock(clock))
 	assert.Equal(t, h.Check().State, Lost)
 	assert.NilError(t, h.Step(context.Background()))
 	held := h.Check()
 	assert.Equal(t, held.State, Held)
 	next = storetest.Down
 	now = now.Add(ttl)
-	assert.Equal(t, h.Check().State, Lost, "lapsed, and the store was not asked yet")
+	assert.Equal(t, h.Check().State, Lost, "expired, before the next call to the store")
 	assert.Assert(t, h.Step(context.Background()) != nil)
 	assert.Equal(t, h.Check(), Grant{State: Outage, Token: held.Token})
 	next = storetest.None
@@ -72,15 +72,17 @@
 	assert.Assert(t, h.Check().Token > held.Token)
 }
 
-func TestOwnerTakesOver(t *testing.T) {
+func TestSameOwnerTakesOverLease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	s := store.NewMemory(store.WithMemoryClock(clock))
-	start := func(owner string) *Holder { return NewHolder(s, "k", ttl, quiet(), WithClock(clock), WithOwner(owner)) }
+	start := func(owner string) *Holder {
+		return NewHolder(s, "k", ttl, discardLogger(), WithClock(clock), WithOwner(owner))
+	}
 	first := start("box-1")
 	assert.NilError(t, first.Step(t.Context()))
 	assert.Assert(t, start("box-2").Step(t.Context()) != nil)
-	assert.Assert(t, start("box").Step(t.Context()) != nil, "another box, whose name begins alike")
+	assert.Assert(t, start("box").Step(t.Context()) != nil, "another owner, whose name is a prefix of the first")
 	second := start("box-1")
 	assert.NilError(t, second.Step(t.Context()))
 	assert.Equal(t, second.Check().State, Held)
--- a/lease/storereturn_test.go
+++ b/lease/storerestore_test.go
@@ -13,7 +13,7 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-func TestOneHolderAcrossStoreRestores(t *testing.T) {
+func TestAtMostOneHolderAcrossStoreRestores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
@@ -24,12 +24,12 @@
 		}
 		holders := make([]*Holder, 3)
 		for i := range holders {
-			holders[i] = NewHolder(faulty, "k", ttl, quiet(), WithClock(clock))
+			holders[i] = NewHolder(faulty, "k", ttl, discardLogger(), WithClock(clock))
 		}
 		copied := memory.Copy()
 		var newest sandbarrow.FencingToken
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
-			switch rapid.IntRange(0, 9).Draw(rt, "what") {
+			switch rapid.IntRange(0, 9).Draw(rt, "action") {
 			case 0:
 				copied = memory.Copy()
 			case 1:
@@ -46,7 +46,7 @@
 					newest = max(newest, g.Token)
 				}
 			}
-			assert.Assert(rt, held <= 1, "%d holders, newest token %d", held, newest)
+			assert.Assert(rt, held <= 1, "%d holders have the lease, newest token %d", held, newest)
 		}
 	})
 }
@@ -59,12 +59,12 @@
 
 func (s *firstEraStore) EraSince() (time.Time, bool) { return s.since, true }
 
-func TestLeaseLostByStoreIsAwaited(t *testing.T) {
+func TestLeaseLostByStoreDelaysNextHolder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	memory := store.NewMemory(store.WithMemoryClock(clock))
 	empty := memory.Copy()
-	first := NewHolder(memory, "k", ttl, quiet(), WithClock(clock))
+	first := NewHolder(memory, "k", ttl, discardLogger(), WithClock(clock))
 	assert.NilError(t, first.Step(t.Context()))
 	held := first.Check()
 	memory.Restore(empty)
@@ -72,7 +72,7 @@
 		t.Run(name, func(t *testing.T) {
 			copied := memory.Copy()
 			now := now
-			second := NewHolder(&firstEraStore{Memory: memory, since: now}, "k", ttl, quiet(), WithClock(func() time.Time { return now }))
+			second := NewHolder(&firstEraStore{Memory: memory, since: now}, "k", ttl, discardLogger(), WithClock(func() time.Time { return now }))
 			second.ObserveToken(observed)
 			assert.NilError(t, second.Step(t.Context()))
 			assert.Equal(t, second.Check().State == Held, observed == 0)
@@ -88,18 +88,18 @@
 	}
 }
 
-func TestLeaseInRestoredCopyContinues(t *testing.T) {
+func TestLeaseInRestoredCopyIsKept(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	memory := store.NewMemory(store.WithMemoryClock(clock))
-	h := NewHolder(memory, "k", ttl, quiet(), WithClock(clock))
+	h := NewHolder(memory, "k", ttl, discardLogger(), WithClock(clock))
 	assert.NilError(t, h.Step(t.Context()))
 	held := h.Check()
 	memory.Restore(memory.Copy())
 	assert.NilError(t, h.Step(t.Context()))
-	assert.Equal(t, h.Check(), held, "the term has changed")
+	assert.Equal(t, h.Check(), held, "token changed although the copy contains the lease")
 	h.Release()
-	other := NewHolder(memory, "k", ttl, quiet(), WithClock(clock))
+	other := NewHolder(memory, "k", ttl, discardLogger(), WithClock(clock))
 	assert.NilError(t, other.Step(t.Context()), "not released in the new era")
 }
 
@@ -108,12 +108,12 @@
 	clock := func() time.Time { return now }
 	memory := store.NewMemory(store.WithMemoryClock(clock))
 	empty := memory.Copy()
-	h := NewHolder(memory, "k", ttl, quiet(), WithClock(clock))
+	h := NewHolder(memory, "k", ttl, discardLogger(), WithClock(clock))
 	assert.NilError(t, h.Step(t.Context()))
 	memory.Restore(empty)
-	other := NewHolder(memory, "other", ttl, quiet(), WithClock(clock)) // gets the same lease name
+	other := NewHolder(memory, "other", ttl, discardLogger(), WithClock(clock)) // gets the same lease name
 	assert.NilError(t, other.Step(t.Context()))
-	rival := NewHolder(memory, "k", ttl, quiet(), WithClock(clock))
+	rival := NewHolder(memory, "k", ttl, discardLogger(), WithClock(clock))
 	assert.NilError(t, rival.Step(t.Context()))
 	assert.Assert(t, h.Step(t.Context()) != nil)
 	assert.Equal(t, h.Check().State, Lost)
--- a/lease/suspension_test.go
+++ b/lease/suspension_test.go
@@ -9,13 +9,13 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-func TestLeaseEndsAcrossASuspension(t *testing.T) {
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	s := store.NewMemory(store.WithMemoryClock(boottime.Now))
-	first, second := NewHolder(s, "k", ttl, quiet()), NewHolder(s, "k", ttl, quiet())
+	first, second := NewHolder(s, "k", ttl, discardLogger()), NewHolder(s, "k", ttl, discardLogger())
 	assert.NilError(t, first.Step(t.Context()))
 	assert.Equal(t, first.Check().State, Held)
 	boottime.Suspend(ttl)
-	assert.NilError(t, second.Step(t.Context()), "the store has let the lease go")
+	assert.NilError(t, second.Step(t.Context()), "the lease has expired in the store")
 	assert.Equal(t, second.Check().State, Held)
-	assert.Check(t, first.Check().State != Held, "two holders")
+	assert.Check(t, first.Check().State != Held, "both holders have the lease")
 }
--- a/leaseid.go
+++ b/leaseid.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// LeaseID names a lease granted by the platform's store, and the era of the grant: a store that was
-// restored from an older copy may give the same name to another lease.
+// LeaseID identifies a lease granted by the platform's store. It includes the era of the grant, because a
+// store that was restored from an older copy may give the same name to another lease.
 type LeaseID string
 
 // leaseEraSeparator separates the store's name of a lease from its era.
 const leaseEraSeparator = "@"
 
-// NewLeaseID returns the id of the lease that the store calls name in an era. An empty name yields an empty
-// id, which stands for no lease.
+// NewLeaseID returns the id of the lease that has the given name in an era of the store. An empty name
+// yields an empty id, which means no lease.
 func NewLeaseID(era StoreEra, name string) LeaseID {
 	if era == 0 || name == "" {
 		return LeaseID(name)
@@ -28,7 +28,7 @@
 	return StoreEra(number)
 }
 
-// Name returns the store's own name of the lease, without the era.
+// Name returns the name that the store gave to the lease, without the era.
 func (i LeaseID) Name() string {
 	name, _, _ := strings.Cut(string(i), leaseEraSeparator)
 	return name
--- a/outcome.go
+++ b/outcome.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome says what is known of a request when its final answer is given.
+// Outcome says whether a request ran, as known when the caller gets its final response.
 type Outcome string
 
 // The outcomes of a request.
@@ -11,11 +11,11 @@
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeWhole means that the caller has the whole answer.
+	// OutcomeComplete means that the caller received the complete response.
 	OutcomeWhole Outcome = "whole"
 )
 
-// Refusal is the error of a request that ends without a whole answer.
+// Refusal is the error of a request that ended without a complete response.
 type Refusal struct {
 	// Outcome is OutcomeNotRun or OutcomeUnknown.
 	Outcome Outcome
@@ -23,11 +23,11 @@
 	Reason Reason
 	// Detail is a sentence for the caller.
 	Detail string
-	// RetryAfter tells the caller when to come back; 0 means that a repeat is useless.
+	// RetryAfter is how long the caller should wait before a retry; 0 means that a retry is useless.
 	RetryAfter time.Duration
 }
 
-// Reason says why a request was refused.
+// Reason is the machine-readable cause of a Refusal.
 type Reason string
 
 // The reasons of a Refusal.
@@ -38,7 +38,7 @@
 	ReasonConfiguration Reason = "configuration"
 	ReasonDeadline      Reason = "deadline"
 	ReasonDraining      Reason = "draining"
-	// ReasonEndsUpstreams is a request under which upstreams have ended.
+	// ReasonCrashesUpstreams is for a request that upstreams have crashed on.
 	ReasonEndsUpstreams   Reason = "ends-upstreams"
 	ReasonIncarnation     Reason = "incarnation"
 	ReasonLoadFailed      Reason = "load-failed"
@@ -52,18 +52,18 @@
 	ReasonUnauthenticated Reason = "unauthenticated"
 	ReasonUnknownModel    Reason = "unknown-model"
 	ReasonUpstream        Reason = "upstream"
-	// ReasonUpstreamBackoff is a request for which the upstreams want none now.
+	// ReasonUpstreamBackoff is for a request whose upstreams are in backoff.
 	ReasonUpstreamBackoff Reason = "upstream-backoff"
-	// ReasonUpstreamLimit is a request for which the upstreams have had what they take.
+	// ReasonUpstreamLimit is for a request whose upstreams have reached their request limit.
 	ReasonUpstreamLimit Reason = "upstream-limit"
 )
 
-// Error returns the refusal as one line.
+// Error returns the outcome, the reason and the detail on one line.
 func (r *Refusal) Error() string {
 	return string(r.Outcome) + ": " + string(r.Reason) + ": " + r.Detail
 }
 
-// NotRun returns a Refusal that promises that the request did not run.
+// NotRun returns a Refusal which guarantees that the request did not run and will not run.
 func NotRun(reason Reason, detail string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Outcome: OutcomeNotRun, Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
--- a/prefixstore.go
+++ b/prefixstore.go
@@ -7,22 +7,23 @@
 	"github.com/juju/errors"
 )
 
-// ErrStoreCompacted means that the store no longer holds the history that a
-// watch asked for; read the prefix again.
+// ErrStoreCompacted means that the store no longer has the history that a
+// watch requested. The caller must read the prefix again.
 const ErrStoreCompacted = errors.ConstError("store: history compacted")
 
-// KeyItem is one key of a PrefixStore as it stood at Revision.
+// KeyItem is the state of one key of a PrefixStore at Revision.
 type KeyItem struct {
 	Key string
-	// Gone says that the key was removed at Revision.
-	Gone     bool
+	// Deleted reports that the key was deleted at Revision. The tag keeps the name that gateways and
+	// controllers exchange.
+	Gone     bool `json:"Gone"`
 	Revision StoreRevision
 	Value    []byte
 }
 
-// Transaction changes several keys, all or none.
+// Transaction changes several keys atomically.
 type Transaction struct {
-	// Expected holds the revision of each key that must stand; 0 means absent.
+	// Expected holds the required revision of each key; 0 means that the key must be absent.
 	Expected map[string]StoreRevision
 	Put      map[string][]byte
 	Remove   []string
@@ -30,13 +31,13 @@
 
 // PrefixStore is a key-value service that can be read and watched by prefix.
 type PrefixStore interface {
-	// Commit makes a transaction and returns its revision. ErrStoreConflict
-	// means that an expectation does not hold.
+	// Commit commits a transaction and returns its revision. ErrStoreConflict
+	// means that a key does not have its expected revision.
 	Commit(ctx context.Context, t Transaction) (StoreRevision, error)
-	// Range reads all keys under a prefix. The returned revision is the point
-	// from which a watch misses nothing.
+	// Range reads all keys under a prefix. A watch from the returned revision
+	// misses no change.
 	Range(ctx context.Context, prefix string) ([]KeyItem, StoreRevision, error)
-	// WatchPrefix waits until a key under a prefix changes past after, or until
-	// wait has passed, and returns the revision to continue from.
+	// WatchPrefix waits until a key under a prefix has changed after the revision after, or
+	// until wait has passed. It returns the changes and the revision to continue from.
 	WatchPrefix(ctx context.Context, prefix string, after StoreRevision, wait time.Duration) ([]KeyItem, StoreRevision, error)
 }
--- a/promptcache/memory.go
+++ b/promptcache/memory.go
@@ -6,76 +6,78 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// loggedChanges bounds the changes that are remembered for readers that lag; one that lags more is
-// told all that is kept: some seconds of an engine.
-const loggedChanges = 256
+// maxLoggedChanges limits the changes that are kept for readers that lag. It covers the changes of an
+// engine in some seconds. A reader that lags more gets the complete state.
+const maxLoggedChanges = 256
 
-// Memory models what one engine keeps: the parts of the prompts that it has read, the
-// ones unused longest giving way. Its zero value keeps nothing and, until SetCapacity,
-// no more than that. It is not safe for concurrent use.
+// Memory models the prompt cache of one engine: the parts of the prompts that it has prefilled.
+// The least recently used parts are evicted first. The zero value is empty, and stays empty
+// until SetCapacity is called. It is not safe for concurrent use.
 type Memory struct {
 	capacity int
 	entries  map[Key]*list.Element
-	// order has the entries, the one used last in front.
+	// order holds the entries, the most recently used first.
 	order list.List
 	used  int
 
-	// log holds the newest changes; the first of them has the number logged.
-	log    []Change
-	logged uint64
+	// log holds the newest changes; firstLogged is the number of the first of them.
+	log         []Change
+	firstLogged uint64
 }
 
-// entry is one part that is kept.
+// entry is one cached part of a prompt.
 type entry struct {
-	adapter sandbarrow.AdapterKey
-	key     Key
-	own     bool
-	// part is the length of the last part alone, stretch that of all.
-	part, stretch int
+	adapter  sandbarrow.AdapterKey
+	key      Key
+	unshared bool
+	// partTokens is the length of the part, prefixTokens that of the prefix that ends with it.
+	partTokens, prefixTokens int
 }
 
-// SetCapacity sets how many tokens the engine keeps.
+// SetCapacity sets how many tokens the engine can cache.
 func (m *Memory) SetCapacity(tokens int) {
 	m.capacity = tokens
 	m.shrink()
 }
 
-// Use notes that the engine has read a prompt with weights of a version. Where that is not
-// known, nothing is kept: what was read may not be used again.
-func (m *Memory) Use(k sandbarrow.AdapterKey, v sandbarrow.WeightsVersion, stretches []Stretch) {
+// Use records that the engine has prefilled a prompt with weights of the given version. If the
+// version is not known, nothing is recorded, because the cached prefix can't be matched to a
+// later request.
+func (m *Memory) Use(k sandbarrow.AdapterKey, v sandbarrow.WeightsVersion, prefixes []Stretch) {
 	if !v.Known(k) {
 		return
 	}
 	if m.entries == nil {
 		m.entries = map[Key]*list.Element{}
 	}
-	// The longest first, so that a part gives way before those that it builds on.
-	for i := len(stretches) - 1; i >= 0; i-- {
-		s := stretches[i]
-		key := s.Prefix.key(v)
+	// The longest first, to evict a part before the parts that it depends on.
+	for i := len(prefixes) - 1; i >= 0; i-- {
+		s := prefixes[i]
+		key := s.PrefixHash.key(v)
 		if e := m.entries[key]; e != nil {
 			m.order.MoveToFront(e)
 			continue
 		}
-		part := s.Tokens
+		partTokens := s.Tokens
 		if i > 0 {
-			part -= stretches[i-1].Tokens
+			partTokens -= prefixes[i-1].Tokens
 		}
-		m.entries[key] = m.order.PushFront(&entry{adapter: k, key: key, own: s.Own, part: part, stretch: s.Tokens})
-		m.used += part
-		if !s.Own {
+		m.entries[key] = m.order.PushFront(&entry{adapter: k, key: key, unshared: s.Unshared, partTokens: partTokens, prefixTokens: s.Tokens})
+		m.used += partTokens
+		if !s.Unshared {
 			m.record(Change{Key: key, Tokens: s.Tokens})
 		}
 	}
 	m.shrink()
 }
 
-// Kept is how many tokens from the start of a prompt are kept for weights of a version.
-func (m *Memory) Kept(v sandbarrow.WeightsVersion, stretches []Stretch) int {
-	return longest(v, stretches, func(k Key) bool { return m.entries[k] != nil })
+// CachedTokens returns how many tokens from the start of a prompt are cached for weights of the
+// given version.
+func (m *Memory) Kept(v sandbarrow.WeightsVersion, prefixes []Stretch) int {
+	return longestCached(v, prefixes, func(k Key) bool { return m.entries[k] != nil })
 }
 
-// Drop forgets what is kept for an adapter, as its unload or replacement does.
+// Drop removes the entries of an adapter. Call it when the adapter is unloaded or replaced.
 func (m *Memory) Drop(k sandbarrow.AdapterKey) {
 	for e := m.order.Front(); e != nil; {
 		next := e.Next()
@@ -86,29 +88,29 @@
 	}
 }
 
-// Clear forgets all, as a restart of the engine does.
+// Clear removes all entries. Call it when the engine has restarted.
 func (m *Memory) Clear() {
 	for e := m.order.Front(); e != nil; e = m.order.Front() {
 		m.remove(e)
 	}
 }
 
-// Changes returns what has changed since a number, and the number to ask after next.
-// all says that the changes are all that is kept, since the number is too old.
+// Changes returns the changes since the number after, and the number to pass to the next call. If
+// that number is too old, all is true and the changes are the complete state.
 func (m *Memory) Changes(after uint64) (changes []Change, all bool, next uint64) {
-	next = m.logged + uint64(len(m.log))
-	if after >= m.logged && after <= next && after > 0 {
-		return m.log[after-m.logged:], false, next
+	next = m.firstLogged + uint64(len(m.log))
+	if after >= m.firstLogged && after <= next && after > 0 {
+		return m.log[after-m.firstLogged:], false, next
 	}
 	for e := m.order.Front(); e != nil; e = e.Next() {
-		if kept := e.Value.(*entry); !kept.own {
-			changes = append(changes, Change{Key: kept.key, Tokens: kept.stretch})
+		if cached := e.Value.(*entry); !cached.unshared {
+			changes = append(changes, Change{Key: cached.key, Tokens: cached.prefixTokens})
 		}
 	}
 	return changes, true, max(next, 1)
 }
 
-// shrink drops the entries that were unused longest until the rest fits.
+// shrink evicts the least recently used entries until the rest fits.
 func (m *Memory) shrink() {
 	for m.used > m.capacity && m.order.Back() != nil {
 		m.remove(m.order.Back())
@@ -116,23 +118,23 @@
 }
 
 func (m *Memory) remove(e *list.Element) {
-	gone := m.order.Remove(e).(*entry)
-	delete(m.entries, gone.key)
-	m.used -= gone.part
-	if !gone.own {
-		m.record(Change{Key: gone.key})
+	removed := m.order.Remove(e).(*entry)
+	delete(m.entries, removed.key)
+	m.used -= removed.partTokens
+	if !removed.unshared {
+		m.record(Change{Key: removed.key})
 	}
 }
 
-// record appends to the log. Numbers begin with 1, so that 0 asks for all.
+// record appends a change to the log. Numbers start at 1; 0 requests the complete state.
 func (m *Memory) record(c Change) {
-	if m.logged == 0 {
-		m.logged = 1
+	if m.firstLogged == 0 {
+		m.firstLogged = 1
 	}
-	if len(m.log) >= loggedChanges {
-		drop := loggedChanges / 2
+	if len(m.log) >= maxLoggedChanges {
+		drop := maxLoggedChanges / 2
 		m.log = append([]Change(nil), m.log[drop:]...)
-		m.logged += uint64(drop)
+		m.firstLogged += uint64(drop)
 	}
 	m.log = append(m.log, c)
 }
--- a/promptcache/mirror.go
+++ b/promptcache/mirror.go
@@ -2,30 +2,31 @@
 
 import "sandbarrow.example/sandbarrow"
 
-// Mirror is a gateway's view of what an engine keeps, from its controller's changes.
-// Its zero value is empty. It is not safe for concurrent use.
+// Mirror is a gateway's copy of the model of an engine's prompt cache. It is updated with the
+// changes that the controller publishes. The zero value is empty. It is not safe for concurrent use.
 type Mirror struct {
-	kept map[Key]struct{}
+	cached map[Key]struct{}
 }
 
-// Apply follows changes; all says that they are all that is kept.
+// Apply applies changes. If all is true, they are the complete state.
 func (m *Mirror) Apply(changes []Change, all bool) {
-	if all || m.kept == nil {
-		m.kept = map[Key]struct{}{}
+	if all || m.cached == nil {
+		m.cached = map[Key]struct{}{}
 	}
 	for _, c := range changes {
 		if c.Tokens > 0 {
-			m.kept[c.Key] = struct{}{}
+			m.cached[c.Key] = struct{}{}
 			continue
 		}
-		delete(m.kept, c.Key)
+		delete(m.cached, c.Key)
 	}
 }
 
-// Kept is how many tokens from the start of a prompt are kept for weights of a version.
-func (m *Mirror) Kept(v sandbarrow.WeightsVersion, stretches []Stretch) int {
-	return longest(v, stretches, func(k Key) bool {
-		_, ok := m.kept[k]
+// CachedTokens returns how many tokens from the start of a prompt are cached for weights of the
+// given version.
+func (m *Mirror) Kept(v sandbarrow.WeightsVersion, prefixes []Stretch) int {
+	return longestCached(v, prefixes, func(k Key) bool {
+		_, ok := m.cached[k]
 		return ok
 	})
 }
--- a/promptcache/promptcache.go
+++ b/promptcache/promptcache.go
@@ -1,8 +1,9 @@
-// Package promptcache estimates which parts of prompts an engine still keeps, so that a
-// request goes where less of its prompt must be read. It owns the model of an engine's
-// memory, which a controller keeps from the requests that it grants, and the mirror of
-// it at a gateway. It relies on nothing; what it says is an estimate, since engines
-// tell of their memory late and with gaps, and each look has its price.
+// Package promptcache estimates which prompt prefixes are in an engine's prompt cache. A gateway
+// uses the estimate to route a request to the engine that has to prefill the least of its prompt.
+// The package owns a model of the cache, which a controller updates from the requests that it
+// grants, and the mirror of that model at a gateway. It depends on no other component. The result
+// is only an estimate, because engines report their cache late and with gaps, and each query of
+// an engine has a cost.
 package promptcache
 
 import (
@@ -15,18 +16,18 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Prefix stands for an adapter and the parts of a prompt from its start up to one of them,
-// whatever the versions of the weights. Two prefixes in a few billion are taken for the
-// same.
-type Prefix uint32
+// PrefixHash identifies an adapter and the parts of a prompt from its start up to one of them. It
+// does not depend on the versions of the weights. Two different prefixes have the same hash with a
+// probability of one in a few billion.
+type PrefixHash uint32
 
-// Key stands for a prefix as an engine has read it, with weights of one version. Engines
-// keep a part only with all parts before it. It is a type of its own so that no prefix is
-// looked up without the weights that made what is kept of it.
+// Key identifies a cached prefix: its hash and the version of the weights that prefilled it. An
+// engine caches a part only together with all parts before it. Key is a separate type so that the
+// compiler rejects a lookup without the version of the weights.
 type Key uint32
 
-// key returns the key of a prefix that was read with weights of a version.
-func (p Prefix) key(v sandbarrow.WeightsVersion) Key {
+// key returns the key of a prefix that was prefilled with weights of the given version.
+func (p PrefixHash) key(v sandbarrow.WeightsVersion) Key {
 	var text [20]byte
 	binary.LittleEndian.PutUint32(text[:], uint32(p))
 	binary.LittleEndian.PutUint64(text[4:], uint64(v.Model))
@@ -34,30 +35,30 @@
 	return Key(xxhash.Sum64(text[:]))
 }
 
-// Stretch is a prompt from its start up to the end of one part.
+// PromptPrefix is a prompt from its start up to the end of one of its parts.
 type Stretch struct {
-	// Own says that the last part belongs to the request alone, or to its session.
-	Own    bool   `json:"o,omitempty"`
-	Prefix Prefix `json:"h"`
-	// Tokens is the length of the stretch in tokens.
+	// Unshared reports that the last part is used only by this request or its session.
+	Unshared   bool       `json:"o,omitempty"`
+	PrefixHash PrefixHash `json:"h"`
+	// Tokens is the length of the prefix in tokens.
 	Tokens int `json:"t"`
 }
 
-// leastShared is the least length of the shared parts of a prompt at which it is worth
-// being followed, in tokens: reading less takes some 50 ms at most, and each prompt that
-// is followed is told to all gateways.
-const leastShared = 1000
+// minSharedTokens is the minimum length of the shared parts of a prompt, in tokens, for it to be
+// tracked. The prefill of fewer tokens takes about 50 ms at most, and each tracked prompt is
+// published to all gateways.
+const minSharedTokens = 1000
 
-// Stretches returns the stretches of a prompt for an adapter, the shortest first, from its
-// list of parts: ID:TOKENS, separated by commas. It returns none where the shared parts are too
-// short to matter. What is malformed ends the list: a request is served without an
-// estimate.
+// PromptPrefixes returns the prefixes of a prompt for an adapter, the shortest first. It parses them
+// from the list of the prompt's parts, which are written as ID:TOKENS and separated by commas. It
+// returns none if the shared parts are shorter than minSharedTokens. Parts from the first malformed
+// one on are ignored, because a request can be served without an estimate.
 func Stretches(k sandbarrow.AdapterKey, parts string) []Stretch {
 	if parts == "" {
 		return nil
 	}
 	digest := xxhash.New()
-	_, _ = digest.WriteString(string(k.Model) + "/" + string(k.Adapter)) // a digest never fails
+	_, _ = digest.WriteString(string(k.Model) + "/" + string(k.Adapter)) // Write never returns an error
 	var list []Stretch
 	length := 0
 	for part := range strings.SplitSeq(parts, ",") {
@@ -68,28 +69,28 @@
 		}
 		_, _ = digest.WriteString("," + id)
 		length += tokens
-		list = append(list, Stretch{Prefix: Prefix(digest.Sum64()), Tokens: length})
+		list = append(list, Stretch{PrefixHash: PrefixHash(digest.Sum64()), Tokens: length})
 	}
-	if len(list) < 2 || list[len(list)-2].Tokens < leastShared {
+	if len(list) < 2 || list[len(list)-2].Tokens < minSharedTokens {
 		return nil
 	}
-	list[len(list)-1].Own = true
+	list[len(list)-1].Unshared = true
 	return list
 }
 
-// Change says that an engine keeps a stretch of so many tokens from now on, or no
-// longer where Tokens is 0.
+// Change reports that an engine has cached a prefix of the given length, or has evicted it if
+// Tokens is 0.
 type Change struct {
 	Key    Key `json:"h"`
 	Tokens int `json:"t,omitempty"`
 }
 
-// longest returns the tokens of the longest stretch that is kept of those read with
-// weights of a version.
-func longest(v sandbarrow.WeightsVersion, stretches []Stretch, kept func(Key) bool) int {
-	for i := len(stretches) - 1; i >= 0; i-- {
-		if kept(stretches[i].Prefix.key(v)) {
-			return stretches[i].Tokens
+// longestCached returns the length, in tokens, of the longest prefix that is cached for weights of
+// the given version.
+func longestCached(v sandbarrow.WeightsVersion, prefixes []Stretch, cached func(Key) bool) int {
+	for i := len(prefixes) - 1; i >= 0; i-- {
+		if cached(prefixes[i].PrefixHash.key(v)) {
+			return prefixes[i].Tokens
 		}
 	}
 	return 0
--- a/promptcache/promptcache_test.go
+++ b/promptcache/promptcache_test.go
@@ -15,7 +15,7 @@
 	return sandbarrow.AdapterKey{Adapter: sandbarrow.AdapterID(name), Model: "base"}
 }
 
-func TestStretches(t *testing.T) {
+func TestPromptPrefixesOfMalformedAndSharedPrompts(t *testing.T) {
 	for parts, lengths := range map[string][]int{
 		"":                      {},
 		"ab:2000":               {},
@@ -34,24 +34,24 @@
 		assert.DeepEqual(t, got, lengths)
 	}
 	a := Stretches(adapter("a"), "ab:1000,cd:50,ef:7")
-	assert.DeepEqual(t, []bool{a[0].Own, a[1].Own, a[2].Own}, []bool{false, false, true})
+	assert.DeepEqual(t, []bool{a[0].Unshared, a[1].Unshared, a[2].Unshared}, []bool{false, false, true})
 	same := Stretches(adapter("a"), "ab:1000,cd:50,99:7")
-	assert.Equal(t, same[1].Prefix, a[1].Prefix)
-	assert.Assert(t, same[2].Prefix != a[2].Prefix)
+	assert.Equal(t, same[1].PrefixHash, a[1].PrefixHash)
+	assert.Assert(t, same[2].PrefixHash != a[2].PrefixHash)
 	for _, other := range [][]Stretch{
 		Stretches(adapter("b"), "ab:1000,cd:50"), Stretches(adapter("a"), "cd:1000,cd:50"),
 	} {
-		assert.Assert(t, other[0].Prefix != a[0].Prefix, "another adapter, or another start")
-		assert.Assert(t, other[1].Prefix != a[1].Prefix)
+		assert.Assert(t, other[0].PrefixHash != a[0].PrefixHash, "another adapter, or another first part")
+		assert.Assert(t, other[1].PrefixHash != a[1].PrefixHash)
 	}
 	keys := map[Key]bool{}
 	for _, v := range []sandbarrow.WeightsVersion{{}, {Adapter: 1, Model: 1}, {Adapter: 2, Model: 1}, {Adapter: 1, Model: 2}, {Model: 1}, {Adapter: 1}} {
-		keys[a[0].Prefix.key(v)] = true
+		keys[a[0].PrefixHash.key(v)] = true
 	}
-	assert.Equal(t, len(keys), 6, "a key names the versions of the adapter and of the base model")
+	assert.Equal(t, len(keys), 6, "a key depends on the versions of the adapter and of the base model")
 }
 
-func TestMemoryIsOfOneVersion(t *testing.T) {
+func TestCachedTokensDependOnWeightsVersion(t *testing.T) {
 	var m Memory
 	var mirror Mirror
 	m.SetCapacity(100_000)
@@ -74,7 +74,7 @@
 	m.Clear()
 	for _, v := range []sandbarrow.WeightsVersion{{}, {Adapter: 1}, {Model: 1}} {
 		m.Use(k, v, s)
-		assert.Equal(t, m.Kept(v, s), 0, "%+v says not which weights of an adapter run", v)
+		assert.Equal(t, m.Kept(v, s), 0, "%+v does not determine the weights of an adapter", v)
 	}
 	base := sandbarrow.AdapterKey{Model: "base"}
 	s = Stretches(base, "s:1000,x:10")
@@ -83,25 +83,25 @@
 	assert.Equal(t, m.Kept(sandbarrow.WeightsVersion{Model: 1}, s), 0)
 }
 
-// first is the version of the weights in tests where it does not matter.
+// first is the version of the weights in tests that do not depend on it.
 var first = sandbarrow.WeightsVersion{Adapter: 1, Model: 1}
 
-func TestMemory(t *testing.T) {
+func TestMemoryEvictsLeastRecentlyUsed(t *testing.T) {
 	var m Memory
 	prompt := func(k, parts string) []Stretch { return Stretches(adapter(k), parts) }
 	use := func(k, parts string) { m.Use(adapter(k), first, prompt(k, parts)) }
 	use("a", "s:1000,x:10")
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,y:10")), 0, "its capacity is not known")
+	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,y:10")), 0, "the capacity is not set")
 	m.SetCapacity(4000)
 	use("a", "s:1000,x:10")
 	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,y:10")), 1000)
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,x:10")), 1010, "its own part too")
+	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,x:10")), 1010, "the unshared part too")
 	assert.Equal(t, m.Kept(first, prompt("b", "s:1000,x:10")), 0, "another adapter")
 	use("b", "s:1000,x:1500")
 	use("a", "s:1000,z:10")
 	use("c", "s:1000,w:1")
 	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,z:10")), 1010)
-	assert.Equal(t, m.Kept(first, prompt("b", "s:1000,x:1500")), 1000, "the part unused longest gave way")
+	assert.Equal(t, m.Kept(first, prompt("b", "s:1000,x:1500")), 1000, "the least recently used part is evicted")
 	m.Drop(adapter("a"))
 	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,z:10")), 0)
 	assert.Equal(t, m.Kept(first, prompt("c", "s:1000,z:10")), 1000)
--- a/sendobserver.go
+++ b/sendobserver.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// SendObserver is told of what a client of an upstream sends, and of the answers. It may be
-// called from several goroutines.
+// SendObserver observes the requests that a client sends to an upstream, and the responses. It is
+// safe for concurrent use.
 type SendObserver interface {
-	// Answered is told of the head of the answer to a request sent at a time.
+	// ResponseReceived is called with the response header for a request that was sent at the given
+	// time.
 	Answered(sent time.Time, status int, h http.Header)
-	// Resumed is told of a further request for a job that the upstream is at work on.
+	// Resumed is called for each further request for a job that the upstream is already running.
 	Resumed()
 }
--- a/storerevision.go
+++ b/storerevision.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// StoreEra counts how often the platform's store was restored from an older copy of its state, which
-// loses the writes acknowledged since that copy. It is 0 if the store does not report an era.
+// StoreEra counts how often the platform's store was restored from an older copy of its state. A restore
+// loses the writes acknowledged after that copy. The era is 0 if the store does not report one.
 type StoreEra uint64
 
 // StoreRevision orders the changes of the platform's store, first by era, then by the store's own
--- a/upstream.go
+++ b/upstream.go
@@ -8,9 +8,9 @@
 
 // The errors of an Upstream.
 const (
-	// ErrUpstreamBroken means that the answer is incomplete or not the one asked for.
-	ErrUpstreamBroken = errors.ConstError("upstream: broken answer")
-	// ErrUpstreamFenced means that the order's token is older than one already seen.
+	// ErrUpstreamBroken means that the response is incomplete or does not match the request.
+	ErrUpstreamBroken = errors.ConstError("upstream: broken response")
+	// ErrUpstreamFenced means that the order's fencing token is older than one already seen.
 	ErrUpstreamFenced = errors.ConstError("upstream: order fenced")
 	// ErrUpstreamNotLoaded means that the adapter is not loaded, so nothing ran.
 	ErrUpstreamNotLoaded = errors.ConstError("upstream: adapter not loaded")
@@ -20,7 +20,7 @@
 	ErrUpstreamUnknown = errors.ConstError("upstream: outcome unknown")
 )
 
-// Job is one request as it is given to an upstream.
+// Job is one request to an upstream.
 type Job struct {
 	Body        []byte
 	ContentType string
@@ -32,47 +32,47 @@
 	Stream      bool
 }
 
-// Answer is the head of an upstream's answer.
+// ResponseHeader is the header of an upstream's response.
 type Answer struct {
 	ContentType string
 	Status      int
 }
 
-// Sink takes the parts of an answer in order.
+// Sink receives a response in order: the header, then the body in parts.
 type Sink interface {
-	// Begin takes the head, once, before any part.
-	Begin(a Answer) error
-	// Write takes one part; it does not keep p.
+	// Begin receives the header. It is called once, before Write.
+	Begin(h Answer) error
+	// Write receives one part of the body. It must not retain p.
 	Write(p []byte) (int, error)
 }
 
-// UpstreamState is what an upstream reports of itself, with a lag.
+// UpstreamState is the state that an upstream reports. It lags behind the actual state.
 type UpstreamState struct {
-	// Loaded lists the loaded adapters with their running requests.
+	// Loaded holds the number of running requests of each loaded adapter.
 	Loaded map[ModelRef]int
-	// Start marks one start of the upstream.
+	// Start identifies one start of the upstream.
 	Start string
 }
 
 // Upstream is a back end that runs requests.
 type Upstream interface {
-	// Run gives a job to the upstream and its whole answer to the sink.
+	// Run runs a job on the upstream and writes the complete response to the sink.
 	Run(ctx context.Context, j Job, s Sink) error
-	// State reads what the upstream reports of itself.
+	// State reads the state that the upstream reports.
 	State(ctx context.Context) (UpstreamState, error)
 }
 
-// Order tells an engine to load or unload an adapter version.
+// Order is a command to an engine to load or unload an adapter version.
 type Order struct {
 	Model   ModelRef
 	Token   FencingToken
 	Weights string
 }
 
-// Engine is an Upstream that holds adapters in slots.
+// Engine is an Upstream that loads adapters into slots.
 type Engine interface {
 	Upstream
-	// Load brings an adapter version into a free slot.
+	// Load loads an adapter version into a free slot.
 	Load(ctx context.Context, o Order) error
 	// Unload frees the slot of an adapter version.
 	Unload(ctx context.Context, o Order) error
