--- a/agent/agent.go
+++ b/agent/agent.go
@@ -76,7 +76,7 @@
 
 // New returns an agent that listens from now on. It reads by reader what its upstream says of
 // itself in its answers.
-func New(s *settings.Settings, reader sandbarrow.AnnouncementReader, logger *slog.Logger, registry *prometheus.Registry) (*Agent, error) {
+func New(s *settings.Settings, reader sandbarrow.NoticeReader, logger *slog.Logger, registry *prometheus.Registry) (*Agent, error) {
 	listener, err := net.Listen("tcp", s.Listen.RPC)
 	if err != nil {
 		return nil, errors.Annotatef(err, "listen.rpc %s", s.Listen.RPC)
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -290,7 +290,7 @@
 	case at.ctx.Err() != nil:
 		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonDeadline, "given up while it ran", 0))
 	case errors.Is(err, sandbarrow.ErrUpstreamBroken):
-		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonAnswerBroken, "the upstream's answer was broken", retryPause))
+		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, "the upstream's answer was broken", retryPause))
 	default:
 		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the upstream failed", retryPause))
 	}
--- a/boxlist.go
+++ b/boxlist.go
@@ -7,8 +7,8 @@
 
 // The states of a box in the platform's box list.
 const (
-	BoxLeaving BoxState = "leaving"
-	BoxLive    BoxState = "live"
+	BoxDraining BoxState = "leaving"
+	BoxLive     BoxState = "live"
 )
 
 // BoxRole says which process of the system runs on a box.
--- a/gateway/crashkeeper.go
+++ b/gateway/crashkeeper.go
@@ -76,7 +76,7 @@
 // Update learns what gateways have written.
 func (k *crashKeeper) Update(items []sandbarrow.KeyItem, _ sandbarrow.StoreRevision) {
 	for _, it := range items {
-		if it.Gone {
+		if it.Deleted {
 			continue // each Log forgets by itself
 		}
 		var r keptRecord
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -118,7 +118,7 @@
 	// hang keeps requests without an answer.
 	hang bool
 	// announced is what it says of itself in each answer, as says names the instance that answers.
-	announced sandbarrow.AnnouncementTexts
+	announced sandbarrow.RawNotice
 	says      string
 	// refuse answers that requests did not run, status is the answer of others.
 	refuse bool
--- a/instance.go
+++ b/instance.go
@@ -42,7 +42,7 @@
 
 // Matches reports whether two ids may identify the same start. They do if they are equal, or if
 // they have the same ListedID and at least one has no start time.
-func (i InstanceID) Is(other InstanceID) bool {
+func (i InstanceID) Matches(other InstanceID) bool {
 	if i == other {
 		return true
 	}
--- a/outcome.go
+++ b/outcome.go
@@ -12,7 +12,7 @@
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
 	// OutcomeComplete means that the caller received the complete response.
-	OutcomeWhole Outcome = "whole"
+	OutcomeComplete Outcome = "whole"
 )
 
 // Refusal is the error of a request that ended without a complete response.
@@ -32,26 +32,26 @@
 
 // The reasons of a Refusal.
 const (
-	ReasonAnswerBroken  Reason = "answer-broken"
-	ReasonBadRequest    Reason = "bad-request"
-	ReasonClaimed       Reason = "claimed"
-	ReasonConfiguration Reason = "configuration"
-	ReasonDeadline      Reason = "deadline"
-	ReasonDraining      Reason = "draining"
+	ReasonResponseBroken Reason = "answer-broken"
+	ReasonBadRequest     Reason = "bad-request"
+	ReasonClaimed        Reason = "claimed"
+	ReasonConfiguration  Reason = "configuration"
+	ReasonDeadline       Reason = "deadline"
+	ReasonDraining       Reason = "draining"
 	// ReasonCrashesUpstreams is for a request that upstreams have crashed on.
-	ReasonEndsUpstreams   Reason = "ends-upstreams"
-	ReasonIncarnation     Reason = "incarnation"
-	ReasonLoadFailed      Reason = "load-failed"
-	ReasonNoUpstream      Reason = "no-upstream"
-	ReasonNotFound        Reason = "not-found"
-	ReasonOverload        Reason = "overload"
-	ReasonRateLimit       Reason = "rate-limit"
-	ReasonRevoked         Reason = "revoked"
-	ReasonStore           Reason = "store"
-	ReasonTooLarge        Reason = "too-large"
-	ReasonUnauthenticated Reason = "unauthenticated"
-	ReasonUnknownModel    Reason = "unknown-model"
-	ReasonUpstream        Reason = "upstream"
+	ReasonCrashesUpstreams Reason = "ends-upstreams"
+	ReasonIncarnation      Reason = "incarnation"
+	ReasonLoadFailed       Reason = "load-failed"
+	ReasonNoUpstream       Reason = "no-upstream"
+	ReasonNotFound         Reason = "not-found"
+	ReasonOverload         Reason = "overload"
+	ReasonRateLimit        Reason = "rate-limit"
+	ReasonRevoked          Reason = "revoked"
+	ReasonStore            Reason = "store"
+	ReasonTooLarge         Reason = "too-large"
+	ReasonUnauthenticated  Reason = "unauthenticated"
+	ReasonUnknownModel     Reason = "unknown-model"
+	ReasonUpstream         Reason = "upstream"
 	// ReasonUpstreamBackoff is for a request whose upstreams are in backoff.
 	ReasonUpstreamBackoff Reason = "upstream-backoff"
 	// ReasonUpstreamLimit is for a request whose upstreams have reached their request limit.
--- a/prefixstore.go
+++ b/prefixstore.go
@@ -16,7 +16,7 @@
 	Key string
 	// Deleted reports that the key was deleted at Revision. The tag keeps the name that gateways and
 	// controllers exchange.
-	Gone     bool `json:"Gone"`
+	Deleted  bool `json:"Gone"`
 	Revision StoreRevision
 	Value    []byte
 }
--- a/promptcache/memory.go
+++ b/promptcache/memory.go
@@ -43,7 +43,7 @@
 // Use records that the engine has prefilled a prompt with weights of the given version. If the
 // version is not known, nothing is recorded, because the cached prefix can't be matched to a
 // later request.
-func (m *Memory) Use(k sandbarrow.AdapterKey, v sandbarrow.WeightsVersion, prefixes []Stretch) {
+func (m *Memory) Use(k sandbarrow.AdapterKey, v sandbarrow.WeightsVersion, prefixes []PromptPrefix) {
 	if !v.Known(k) {
 		return
 	}
@@ -73,7 +73,7 @@
 
 // CachedTokens returns how many tokens from the start of a prompt are cached for weights of the
 // given version.
-func (m *Memory) Kept(v sandbarrow.WeightsVersion, prefixes []Stretch) int {
+func (m *Memory) CachedTokens(v sandbarrow.WeightsVersion, prefixes []PromptPrefix) int {
 	return longestCached(v, prefixes, func(k Key) bool { return m.entries[k] != nil })
 }
 
--- a/promptcache/mirror.go
+++ b/promptcache/mirror.go
@@ -24,7 +24,7 @@
 
 // CachedTokens returns how many tokens from the start of a prompt are cached for weights of the
 // given version.
-func (m *Mirror) Kept(v sandbarrow.WeightsVersion, prefixes []Stretch) int {
+func (m *Mirror) CachedTokens(v sandbarrow.WeightsVersion, prefixes []PromptPrefix) int {
 	return longestCached(v, prefixes, func(k Key) bool {
 		_, ok := m.cached[k]
 		return ok
--- a/promptcache/promptcache.go
+++ b/promptcache/promptcache.go
@@ -36,7 +36,7 @@
 }
 
 // PromptPrefix is a prompt from its start up to the end of one of its parts.
-type Stretch struct {
+type PromptPrefix struct {
 	// Unshared reports that the last part is used only by this request or its session.
 	Unshared   bool       `json:"o,omitempty"`
 	PrefixHash PrefixHash `json:"h"`
@@ -53,13 +53,13 @@
 // from the list of the prompt's parts, which are written as ID:TOKENS and separated by commas. It
 // returns none if the shared parts are shorter than minSharedTokens. Parts from the first malformed
 // one on are ignored, because a request can be served without an estimate.
-func Stretches(k sandbarrow.AdapterKey, parts string) []Stretch {
+func PromptPrefixes(k sandbarrow.AdapterKey, parts string) []PromptPrefix {
 	if parts == "" {
 		return nil
 	}
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(k.Model) + "/" + string(k.Adapter)) // Write never returns an error
-	var list []Stretch
+	var list []PromptPrefix
 	length := 0
 	for part := range strings.SplitSeq(parts, ",") {
 		id, text, _ := strings.Cut(strings.TrimSpace(part), ":")
@@ -69,7 +69,7 @@
 		}
 		_, _ = digest.WriteString("," + id)
 		length += tokens
-		list = append(list, Stretch{PrefixHash: PrefixHash(digest.Sum64()), Tokens: length})
+		list = append(list, PromptPrefix{PrefixHash: PrefixHash(digest.Sum64()), Tokens: length})
 	}
 	if len(list) < 2 || list[len(list)-2].Tokens < minSharedTokens {
 		return nil
@@ -87,7 +87,7 @@
 
 // longestCached returns the length, in tokens, of the longest prefix that is cached for weights of
 // the given version.
-func longestCached(v sandbarrow.WeightsVersion, prefixes []Stretch, cached func(Key) bool) int {
+func longestCached(v sandbarrow.WeightsVersion, prefixes []PromptPrefix, cached func(Key) bool) int {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		if cached(prefixes[i].PrefixHash.key(v)) {
 			return prefixes[i].Tokens
--- a/sendobserver.go
+++ b/sendobserver.go
@@ -10,7 +10,7 @@
 type SendObserver interface {
 	// ResponseReceived is called with the response header for a request that was sent at the given
 	// time.
-	Answered(sent time.Time, status int, h http.Header)
+	ResponseReceived(sent time.Time, status int, h http.Header)
 	// Resumed is called for each further request for a job that the upstream is already running.
 	Resumed()
 }
--- a/upstream.go
+++ b/upstream.go
@@ -33,7 +33,7 @@
 }
 
 // ResponseHeader is the header of an upstream's response.
-type Answer struct {
+type ResponseHeader struct {
 	ContentType string
 	Status      int
 }
@@ -41,7 +41,7 @@
 // Sink receives a response in order: the header, then the body in parts.
 type Sink interface {
 	// Begin receives the header. It is called once, before Write.
-	Begin(h Answer) error
+	Begin(h ResponseHeader) error
 	// Write receives one part of the body. It must not retain p.
 	Write(p []byte) (int, error)
 }
