--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -7,8 +7,8 @@
 	"sandbarrow.example/sandbarrow/enginelink"
 )
 
-// keepCall keeps that a gateway has asked for a pin.
-func (l *link) keepCall(id sandbarrow.RequestID) *acquireCall {
+// addCall registers an acquire call of the gateway.
+func (l *link) addCall(id sandbarrow.RequestID) *acquireCall {
 	l.controller.mu.Lock()
 	defer l.controller.mu.Unlock()
 	a := &acquireCall{}
@@ -16,69 +16,71 @@
 	return a
 }
 
-// acquire waits for a pin on an adapter. It waits for as long as the gateway says
-// for the load to begin; once the adapter is loading or loaded, a while longer.
+// acquire waits for a pin on an adapter. It waits as long as the gateway allows for the
+// load to start. Once the adapter is loading or loaded, it waits up to
+// enginelink.LoadPatience longer.
 func (l *link) acquire(q *enginelink.Acquire, a *acquireCall) enginelink.Grant {
 	c := l.controller
-	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, stretches: q.Stretches, tokens: q.Tokens}
+	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, promptPrefixes: q.Stretches, tokens: q.Tokens}
 	w, refusal := l.enqueue(q, p, a)
 	if w == nil {
 		c.metrics.refused(refusal.Refused)
 		return refusal
 	}
 	if g, ok := l.waitForGrant(w, time.Duration(q.WaitMS)*time.Millisecond); ok {
-		return l.granted(q, p, g, a)
+		return l.acceptGrant(q, p, g, a)
 	}
-	if l.comesSoon(p) {
+	if l.isLoadingOrPinned(p) {
 		if g, ok := l.waitForGrant(w, enginelink.LoadPatience); ok {
-			return l.granted(q, p, g, a)
+			return l.acceptGrant(q, p, g, a)
 		}
 	}
-	return l.giveUp(q, w, a)
+	return l.cancelWait(q, w, a)
 }
 
-// enqueue queues a request, or refuses it at once; then the pending request is nil.
+// enqueue queues a request. If the request is refused immediately, it returns a nil request
+// and the refusal.
 func (l *link) enqueue(q *enginelink.Acquire, p *pin, a *acquireCall) (*pendingRequest, enginelink.Grant) {
 	c := l.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.left {
+	if a.canceled {
 		return nil, enginelink.Grant{Refused: enginelink.RefuseLeft}
 	}
 	if refusal, refused := c.refuseAtOnce(q); refused {
 		delete(l.calls, q.ID)
 		return nil, refusal
 	}
-	// A gateway that lags must not get a version that is known to be old.
+	// A gateway with an outdated view must not get a version that is known to be old.
 	q.Version = max(q.Version, c.estate.View().LeastVersion(p.key))
 	w := c.slots.acquire(c.now(), q, p)
 	a.request = w
 	if !p.granted {
 		c.wakeEngineLoop()
-		c.published.announce()
+		c.published.markChanged()
 	}
 	return w, enginelink.Grant{}
 }
 
-// refuseAtOnce decides which requests are not queued: those that the engine can't
-// serve, and those for which more prompts wait here than their gateway allows, so
-// that it chooses again by this controller's own count.
+// refuseAtOnce decides which requests are not queued. It refuses requests that the engine
+// can't serve. It also refuses a request if more prompt tokens are waiting here than its
+// gateway allows, so that the gateway chooses again with this controller's own count.
 //
-// Inputs: the engine's last report (0.25 s old at most, 15 ms while it loads), and
-// the prompt tokens that wait now. The caller holds mu.
+// The decision depends on the engine's last report (at most 0.25 s old, 15 ms during loads)
+// and on the prompt tokens that wait now. The caller holds mu.
 func (c *Controller) refuseAtOnce(q *enginelink.Acquire) (enginelink.Grant, bool) {
 	switch {
 	case c.reported.Draining:
 		return enginelink.Grant{Refused: enginelink.RefuseDraining}, true
 	case c.failedReports >= unreachableAfter:
 		return enginelink.Grant{Refused: enginelink.RefuseUnreachable}, true
-	case !c.holdsModel(q.Model):
+	case !c.hasModel(q.Model):
 		return enginelink.Grant{Refused: enginelink.RefuseNoModel}, true
 	case c.now().Before(c.backoffUntil) && c.slots.needsOrder(sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, q.Version):
 		return enginelink.Grant{Refused: enginelink.RefuseBackoff}, true
 	case q.Instance != "" && c.instance != "" && !q.Instance.Is(c.instance):
-		// The engine itself would refuse the request, after a load for nothing, and the
-		// gateway's next attempt would take a retry from its budget.
+		// The engine would refuse the request after a useless load, and the gateway's next
+		// attempt would use up a retry from its budget.
 		return enginelink.Grant{Refused: enginelink.RefuseInstance}, true
 	}
 	if q.MostWaiting > 0 {
@@ -89,19 +91,19 @@
 	return enginelink.Grant{}, false
 }
 
-// holdsModel reports whether the engine holds a base model. The caller holds mu.
-func (c *Controller) holdsModel(m sandbarrow.BaseModelID) bool {
-	for _, held := range c.reported.Models {
-		if held.Model == m {
+// hasModel reports whether the engine has loaded a base model. The caller holds mu.
+func (c *Controller) hasModel(m sandbarrow.BaseModelID) bool {
+	for _, loaded := range c.reported.Models {
+		if loaded.Model == m {
 			return true
 		}
 	}
 	return false
 }
 
-// waitForGrant waits for a grant until a time has passed or the link ends.
-func (l *link) waitForGrant(w *pendingRequest, patience time.Duration) (enginelink.Grant, bool) {
-	timer := time.NewTimer(patience)
+// waitForGrant waits for a grant until the timeout expires or the link closes.
+func (l *link) waitForGrant(w *pendingRequest, timeout time.Duration) (enginelink.Grant, bool) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case g := <-w.grant:
@@ -112,9 +114,9 @@
 	return enginelink.Grant{}, false
 }
 
-// comesSoon reports whether the engine is loading the adapter of a pin, or has it and only
-// reads other prompts first.
-func (l *link) comesSoon(p *pin) bool {
+// isLoadingOrPinned reports whether the engine is loading the adapter of a pin. It is also
+// true if the pin is already granted and only waits for the prefill of other prompts.
+func (l *link) isLoadingOrPinned(p *pin) bool {
 	c := l.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,13 +124,13 @@
 	return p.granted || sl != nil && sl.state == enginelink.SlotLoading
 }
 
-// granted keeps the pin of a request that waited, or counts its refusal.
-func (l *link) granted(q *enginelink.Acquire, p *pin, g enginelink.Grant, a *acquireCall) enginelink.Grant {
+// acceptGrant records the pin of a granted request, or counts its refusal.
+func (l *link) acceptGrant(q *enginelink.Acquire, p *pin, g enginelink.Grant, a *acquireCall) enginelink.Grant {
 	c := l.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(l.calls, q.ID)
-	if a.left {
+	if a.canceled {
 		c.slots.unpin(c.now(), p)
 		g.Refused = enginelink.RefuseLeft
 	}
@@ -136,14 +138,14 @@
 		c.metrics.refused(g.Refused)
 		return g
 	}
-	l.keepPin(q.ID, p)
-	c.published.announce()
+	l.addPin(q.ID, p)
+	c.published.markChanged()
 	return g
 }
 
-// giveUp ends the wait of a request that no slot came free for in time, unless it
-// was granted at the last moment.
-func (l *link) giveUp(q *enginelink.Acquire, w *pendingRequest, a *acquireCall) enginelink.Grant {
+// cancelWait ends the wait of a request that got no grant in time. If the grant arrived at
+// the last moment, it returns that grant.
+func (l *link) cancelWait(q *enginelink.Acquire, w *pendingRequest, a *acquireCall) enginelink.Grant {
 	c := l.controller
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,10 +153,10 @@
 	select {
 	case g := <-w.grant:
 		switch {
-		case a.left:
+		case a.canceled:
 			c.slots.unpin(c.now(), w.pin)
 		case g.Refused == "":
-			l.keepPin(q.ID, w.pin)
+			l.addPin(q.ID, w.pin)
 		}
 		return g
 	default:
@@ -164,9 +166,9 @@
 	return enginelink.Grant{Refused: enginelink.RefuseSlots}
 }
 
-// keepPin keeps a granted pin with its link, or ends it where the link has ended
-// meanwhile. The caller holds the controller's mu.
-func (l *link) keepPin(id sandbarrow.RequestID, p *pin) {
+// addPin adds a granted pin to its link, or releases it if the link has closed in the
+// meantime. The caller holds the controller's mu.
+func (l *link) addPin(id sandbarrow.RequestID, p *pin) {
 	if l.closed {
 		l.controller.slots.unpin(l.controller.now(), p)
 		return
@@ -174,7 +176,7 @@
 	l.pins[id] = p
 }
 
-// adopt keeps a pin that was granted before this controller started, or without it.
+// adopt registers a pin that was granted before this controller started, or without it.
 func (l *link) adopt(q *enginelink.Acquire) {
 	c := l.controller
 	c.mu.Lock()
@@ -182,19 +184,19 @@
 	if l.pins[q.ID] != nil {
 		return
 	}
-	if p := c.orphans[q.ID]; p != nil {
-		delete(c.orphans, q.ID)
-		l.keepPin(q.ID, p)
+	if p := c.detachedPins[q.ID]; p != nil {
+		delete(c.detachedPins, q.ID)
+		l.addPin(q.ID, p)
 		return
 	}
-	p := &pin{begun: true, key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, tokens: q.Tokens}
+	p := &pin{responseStarted: true, key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, tokens: q.Tokens}
 	c.slots.pin(c.now(), p)
-	l.keepPin(q.ID, p)
+	l.addPin(q.ID, p)
 }
 
-// applyProgress follows the progress of a pinned request by the method that reports it:
-// its answer has begun, its stream has paused for too long, or it is done and its pin
-// ends.
+// applyProgress applies a progress report for a pinned request. The method tells whether
+// the response has started, the stream has paused for too long, or the request is done and
+// its pin is released.
 func (l *link) applyProgress(id sandbarrow.RequestID, method string) {
 	c := l.controller
 	c.mu.Lock()
@@ -202,54 +204,54 @@
 	now := c.now()
 	p := l.pins[id]
 	if p == nil {
-		p = c.orphans[id]
+		p = c.detachedPins[id]
 	}
 	switch {
 	case p == nil && method == enginelink.MethodDone && l.calls[id] != nil:
-		c.leave(l.calls[id])
+		c.cancelAcquire(l.calls[id])
 		delete(l.calls, id)
 		return
 	case p == nil:
 		return
 	case method == enginelink.MethodPaused:
-		if size, closed := c.slots.paused(now); closed {
+		if size, closed := c.slots.streamPaused(now); closed {
 			c.logger.Info("read window closed", "request", string(id), "tokens", size)
 		}
 		return
 	case method == enginelink.MethodBegun:
-		c.slots.begun(now, p)
+		c.slots.responseStarted(now, p)
 	case method == enginelink.MethodDone:
 		delete(l.pins, id)
-		if o := c.orphans[id]; o != nil && o != p {
-			c.slots.unpin(now, o) // of a link that ended here after this one was there
+		if o := c.detachedPins[id]; o != nil && o != p {
+			c.slots.unpin(now, o) // from an older link that closed here after this one opened
 		}
-		delete(c.orphans, id)
-		c.slots.done(now, p)
+		delete(c.detachedPins, id)
+		c.slots.requestDone(now, p)
 		if len(c.slots.pending) > 0 {
 			c.wakeEngineLoop()
 		}
 	}
-	p.begun = true
-	c.published.announce()
+	p.responseStarted = true
+	c.published.markChanged()
 }
 
-// orphanGrace is how long a pin outlives its link: longer than a gateway needs to link
-// again (0.15 s on average, forward.DialTimeout at most). TestSoak/3 holds it.
-const orphanGrace = 800 * time.Millisecond
+// detachedPinGrace is how long a pin outlives its link. It is longer than a gateway needs
+// to link again (0.15 s on average, forward.DialTimeout at most). TestSoak/3 checks it.
+const detachedPinGrace = 800 * time.Millisecond
 
-// orphan keeps a pin whose link has ended for orphanGrace: the request may go on at
-// the engine while its gateway links again. The caller holds mu.
-func (c *Controller) orphan(id sandbarrow.RequestID, p *pin) {
-	c.orphans[id] = p
-	time.AfterFunc(orphanGrace, func() {
+// detachPin keeps a pin for detachedPinGrace after its link has closed. The request may
+// still be running on the engine while its gateway links again. The caller holds mu.
+func (c *Controller) detachPin(id sandbarrow.RequestID, p *pin) {
+	c.detachedPins[id] = p
+	time.AfterFunc(detachedPinGrace, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.orphans[id] != p {
+		if c.detachedPins[id] != p {
 			return
 		}
-		delete(c.orphans, id)
+		delete(c.detachedPins, id)
 		c.slots.unpin(c.now(), p)
-		c.published.announce()
+		c.published.markChanged()
 		c.wakeEngineLoop()
 	})
 }
--- a/controller/acquirecall.go
+++ b/controller/acquirecall.go
@@ -2,28 +2,29 @@
 
 import "sandbarrow.example/sandbarrow/enginelink"
 
-// acquireCall is one acquire of a gateway that has no answer yet. It is guarded by the
+// acquireCall is one acquire call of a gateway that has no reply yet. It is guarded by the
 // controller's mu.
 type acquireCall struct {
-	// left says that the gateway wants the pin no longer.
-	left bool
-	// request waits for its grant; nil before it is queued.
+	// canceled reports that the gateway no longer needs the pin.
+	canceled bool
+	// request is waiting for its grant; nil until it is queued.
 	request *pendingRequest
 }
 
-// leave ends an acquire that its gateway has ended: its place in the queue, or the pin that
-// was granted meanwhile. Without it the pin lasts as long as the link: its adapter is
-// never unloaded, and its prompt counts as waiting at the engine. The caller holds mu.
-func (c *Controller) leave(a *acquireCall) {
-	a.left = true
+// cancelAcquire cancels an acquire call. It removes the request from the queue and releases
+// a pin that was granted in the meantime. Otherwise the pin would last as long as the link:
+// its adapter would never be unloaded, and its prompt would count as waiting at the engine.
+// The caller holds mu.
+func (c *Controller) cancelAcquire(a *acquireCall) {
+	a.canceled = true
 	if a.request == nil {
 		return
 	}
 	c.slots.cancel(c.now(), a.request)
 	select {
 	case a.request.grant <- enginelink.Grant{Refused: enginelink.RefuseLeft}:
-	default: // it was granted, and the one who takes the grant sees that the gateway left
+	default: // already granted; the receiver of the grant checks canceled
 	}
-	c.published.announce()
+	c.published.markChanged()
 	c.wakeEngineLoop()
 }
--- a/controller/acquirecall_test.go
+++ b/controller/acquirecall_test.go
@@ -11,16 +11,16 @@
 	"sandbarrow.example/sandbarrow/promptcache"
 )
 
-func TestGatewayThatLeavesHoldsNothing(t *testing.T) {
+func TestCanceledAcquireLeavesNoPin(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	c := newTestController(t, f)
 	step(t, c)
-	rpc := linkTo(t.Context(), c, nil)
-	ctx, leave := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
+	rpc := openLink(t.Context(), c, nil)
+	ctx, cancel := context.WithCancel(t.Context())
+	finished := make(chan error, 1)
 	go func() {
-		ended <- rpc.Call(ctx, enginelink.MethodAcquire, enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Tokens: 1000, WaitMS: 60_000}, new(enginelink.Grant))
+		finished <- rpc.Call(ctx, enginelink.MethodAcquire, enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Tokens: 1000, WaitMS: 60_000}, new(enginelink.Grant))
 	}()
 	pending := func() int {
 		c.mu.Lock()
@@ -28,25 +28,25 @@
 		return len(c.slots.pending)
 	}
 	eventually(t, func() bool { return pending() == 1 })
-	leave()
-	<-ended
+	cancel()
+	<-finished
 	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: "1"}))
 	eventually(t, func() bool { return pending() == 0 })
 	step(t, c)
 	step(t, c)
-	assert.Equal(t, c.usesOf("a"), 0)
+	assert.Equal(t, c.pinsOn("a"), 0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waiting := c.slots.waiting()
 	assert.Equal(t, waiting.Total(), 0)
 }
 
-// A grant that crosses the end of its acquire is given back.
-func TestGrantThatCrossesTheLeaveIsReleased(t *testing.T) {
+// A grant that races with the cancellation of its acquire call is released.
+func TestGrantRacingCancellationReleased(t *testing.T) {
 	c := newTestController(t, newFakeEngine(testSlots))
 	l := &link{calls: map[sandbarrow.RequestID]*acquireCall{}, controller: c, ctx: t.Context(), pins: map[sandbarrow.RequestID]*pin{}}
 	q := &enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel}
-	a := l.keepCall(q.ID)
+	a := l.addCall(q.ID)
 	p := &pin{key: key("a")}
 	c.mu.Lock()
 	c.slots.markLoaded(c.now(), key("a"), 1)
@@ -54,24 +54,24 @@
 	c.mu.Unlock()
 	g := <-a.request.grant
 	l.applyProgress(q.ID, enginelink.MethodDone)
-	assert.Equal(t, l.granted(q, p, g, a).Refused, enginelink.RefuseLeft)
-	assert.Equal(t, c.usesOf("a"), 0)
+	assert.Equal(t, l.acceptGrant(q, p, g, a).Refused, enginelink.RefuseLeft)
+	assert.Equal(t, c.pinsOn("a"), 0)
 	assert.Equal(t, len(l.pins), 0)
 }
 
-func TestGrantsNoVersionKnownToBeOld(t *testing.T) {
+func TestNoGrantOfOutdatedVersion(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	f.loaded[key("a")] = 1
 	c := newTestController(t, f)
 	step(t, c)
 	c.estate.Update([]sandbarrow.KeyItem{{Key: "a", Revision: 2, Value: []byte{2}}}, 2)
-	rpc := linkTo(t.Context(), c, nil)
+	rpc := openLink(t.Context(), c, nil)
 	var g enginelink.Grant
 	done := make(chan error, 1)
 	go func() {
-		ask := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Tokens: 100, Version: 1, WaitMS: 5000}
-		done <- rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &g)
+		request := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Tokens: 100, Version: 1, WaitMS: 5000}
+		done <- rpc.Call(t.Context(), enginelink.MethodAcquire, request, &g)
 	}()
 	eventually(t, func() bool {
 		c.mu.Lock()
@@ -87,24 +87,24 @@
 	assert.Equal(t, g.Refused, enginelink.RefuseReason(""))
 }
 
-func TestRestartEndsWhatWaits(t *testing.T) {
+func TestRestartRefusesWaitingRequests(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	f.loaded[key("a")], f.sequence = 1, 5
 	c := newTestController(t, f)
 	step(t, c)
-	rpc := linkTo(t.Context(), c, nil)
-	s := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
-	var read enginelink.Grant
-	ask := enginelink.Acquire{Adapter: "a", ID: "read", Model: testModel, Stretches: s, Tokens: 3600, WaitMS: 100}
-	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &read))
-	assert.Equal(t, read.Refused, enginelink.RefuseReason(""))
+	rpc := openLink(t.Context(), c, nil)
+	prefixes := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
+	var prefilled enginelink.Grant
+	request := enginelink.Acquire{Adapter: "a", ID: "read", Model: testModel, Stretches: prefixes, Tokens: 3600, WaitMS: 100}
+	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, request, &prefilled))
+	assert.Equal(t, prefilled.Refused, enginelink.RefuseReason(""))
 
 	var waiting enginelink.Grant
 	done := make(chan error, 1)
 	go func() {
-		ask := enginelink.Acquire{Adapter: "b", ID: "waits", Model: testModel, Tokens: 100, WaitMS: 5000}
-		done <- rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &waiting)
+		request := enginelink.Acquire{Adapter: "b", ID: "waits", Model: testModel, Tokens: 100, WaitMS: 5000}
+		done <- rpc.Call(t.Context(), enginelink.MethodAcquire, request, &waiting)
 	}()
 	eventually(t, func() bool {
 		c.mu.Lock()
@@ -125,16 +125,16 @@
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	assert.Equal(t, c.slots.kept.Kept(read.Weights(), s), 0)
+	assert.Equal(t, c.slots.cached.Kept(prefilled.Weights(), prefixes), 0)
 }
 
-func TestRestartWithoutOrdersIsSeen(t *testing.T) {
+func TestRestartWithoutOrdersDetected(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	c := newTestController(t, f)
 	step(t, c)
 	c.mu.Lock()
-	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, stretches: promptcache.Stretches(key(""), "ab:3000,ef:100"), tokens: 3100}
+	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, promptPrefixes: promptcache.Stretches(key(""), "ab:3000,ef:100"), tokens: 3100}
 	c.slots.acquire(c.now(), &enginelink.Acquire{UsefulMS: 1000}, p)
 	c.mu.Unlock()
 	assert.Assert(t, p.granted)
@@ -142,6 +142,6 @@
 	step(t, c)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slots.begun(c.now(), p)
-	assert.Equal(t, c.slots.kept.Kept(p.weights, p.stretches), 0, "the prompt was read by the start before")
+	c.slots.responseStarted(c.now(), p)
+	assert.Equal(t, c.slots.cached.Kept(p.weights, p.promptPrefixes), 0, "the prompt was prefilled by the previous start")
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,19 +1,18 @@
-// Package controller runs beside one engine and decides which adapters occupy its
-// slots. Gateways ask it to pin an adapter and send their requests to the engine
-// themselves; no request passes through it.
+// Package controller runs beside one engine and decides which adapters occupy the engine's
+// slots. Gateways ask the controller to pin an adapter and send their requests directly to
+// the engine. No request passes through the controller.
 //
-// It owns the engine's adapter slots, the pins on them, the queue of pending loads
-// and all orders to the engine. It relies on the engine's reports, on the operators'
-// state (package estate), on the platform's store for its fencing token, and on
-// gateways for the pins that go on when it restarts. Nothing it knows outlives
-// the process.
+// The controller owns the engine's adapter slots, the pins on them, the queue of pending
+// loads and all orders to the engine. It depends on the engine's reports, on the operators'
+// state (package estate), and on the platform's store for its fencing token. After a
+// restart it depends on the gateways, which report the pins that are still in use. It keeps
+// all of its state in memory.
 //
-// The rules, each in a file of its own: acquire.go (who is refused at once, how long
-// a request waits), pendingload.go (which load is worth most), nextorder.go (what is
-// loaded, replaced and evicted), loadwindow.go (how many loads at once),
-// reconcile.go (what a report changes), engineloop.go (when the engine counts as
-// unreachable, and what follows a failed order). docs/DECISIONS.md lists them by
-// question.
+// Each rule has a file of its own: acquire.go (which requests are refused immediately and
+// how long a request waits), pendingload.go (the value of a load), nextorder.go (what is
+// loaded, replaced and evicted), loadwindow.go (how many loads run at once), reconcile.go
+// (how a report changes the slots), engineloop.go (when the engine counts as unreachable,
+// and what follows a failed order). docs/DECISIONS.md lists the rules by question.
 package controller
 
 import (
@@ -37,17 +36,18 @@
 )
 
 const (
-	// watchWait is the longest wait of one watch of the operators' state. Each call has its
-	// price, and gateways announce what a lost watch would miss.
+	// watchWait is the longest wait of one watch call on the operators' state. Each call
+	// has a cost, and gateways report the changes that a lost watch would miss.
 	watchWait = 12 * time.Second
-	// coveringLinks is how many linked gateways make an own watch needless: with two, one
-	// that is cut off from the store hides no change.
+	// coveringLinks is the number of linked gateways from which the controller needs no
+	// watch of its own. With two, a change still arrives if one of them is cut off from the
+	// store.
 	coveringLinks = 2
 )
 
-// Config is what a Controller needs.
+// Config configures a Controller.
 type Config struct {
-	// Bound is what the operators promise of the workspaces' limits.
+	// Bound is how far a workspace may exceed its limits, as guaranteed by the operators.
 	Bound     quota.Bound
 	Box       sandbarrow.BoxID
 	Control   sandbarrow.EngineControl
@@ -56,7 +56,8 @@
 	Engine  string
 	Logger  *slog.Logger
 	Metrics prometheus.Registerer
-	// LeaseStore keeps the leases on quota shards; nil leads none.
+	// LeaseStore stores the leases on quota shards. If it is nil, the controller leads no
+	// shards.
 	LeaseStore sandbarrow.LeaseStore
 	Service    sandbarrow.ServiceID
 	Store      sandbarrow.PrefixStore
@@ -66,14 +67,14 @@
 type Controller struct {
 	box     sandbarrow.BoxID
 	control sandbarrow.EngineControl
-	// crashes is what gateways have told of requests under which upstreams end, kept for
-	// those that start.
+	// crashes holds the gateways' reports of requests that crash upstreams, for gateways
+	// that link later.
 	crashes *crash.Log
 	engine  string
 	estate  *estate.Estate
-	// leader is nil where no shards are led.
+	// leader is nil if this process leads no quota shards.
 	leader *leader.Leader
-	// limits grants sends to upstreams that name a limit, of whatever service.
+	// limits grants sends to upstreams with named limits, of any service.
 	limits  *enginelink.SendKeeper
 	logger  *slog.Logger
 	metrics *metrics
@@ -84,32 +85,32 @@
 	watch   prefixwatch.Watch
 
 	mu sync.Mutex
-	// backoffUntil is until when the engine wants no orders.
+	// backoffUntil is when the engine's backoff ends. Until then it gets no orders.
 	backoffUntil  time.Time
 	failedReports int
-	// instance is the engine's start, or "" while it is not known.
+	// instance identifies the current start of the engine; empty while unknown.
 	instance sandbarrow.InstanceID
-	// late are the orders of earlier starts that may come yet.
+	// late holds the load orders without a response that may still be carried out.
 	late lateLoads
-	// named is the id of the engine that was identified last.
-	named sandbarrow.ListedID
-	links map[*link]bool
-	// orphans are pins whose link has ended, for orphanGrace.
-	orphans   map[sandbarrow.RequestID]*pin
-	published *publisher
-	reported  sandbarrow.EngineReport
-	sequence  uint64
-	slots     *slots
-	token     sandbarrow.FencingToken
-	// unreported says whether gateways may hold pins that are not known here.
+	// lastListedID is the listed ID of the engine that was identified last.
+	lastListedID sandbarrow.ListedID
+	links        map[*link]bool
+	// detachedPins holds the pins whose link has closed, for detachedPinGrace.
+	detachedPins map[sandbarrow.RequestID]*pin
+	published    *publisher
+	reported     sandbarrow.EngineReport
+	sequence     uint64
+	slots        *slots
+	token        sandbarrow.FencingToken
+	// unreported tracks whether gateways may have pins that are not known here.
 	unreported unreportedPins
 }
 
-// New returns a controller; Run starts it.
+// New returns a controller. Run starts it.
 func New(c Config) *Controller {
 	e := estate.New(c.Documents, c.Logger)
 	k := &Controller{
-		box: c.Box, control: c.Control, crashes: crash.NewLog(boottime.Now), engine: c.Engine, estate: e, limits: enginelink.NewSendKeeper(1), links: map[*link]bool{}, orphans: map[sandbarrow.RequestID]*pin{}, logger: c.Logger,
+		box: c.Box, control: c.Control, crashes: crash.NewLog(boottime.Now), engine: c.Engine, estate: e, limits: enginelink.NewSendKeeper(1), links: map[*link]bool{}, detachedPins: map[sandbarrow.RequestID]*pin{}, logger: c.Logger,
 		metrics: newMetrics(c.Metrics), now: boottime.Now, published: newPublisher(), service: c.Service, slots: newSlots(evict.NewCost()), store: c.Store,
 		wake: make(chan struct{}, 1),
 		watch: prefixwatch.Watch{
@@ -123,25 +124,26 @@
 		k.leader = leader.New(leader.Config{Bound: c.Bound, Box: c.Box, Estate: e, Keys: c.Store, Logger: c.Logger, Store: c.LeaseStore})
 	}
 	k.watch.Covered = k.watchedByGateways
-	k.slots.loadTook = k.loadTook
+	k.slots.observeLoad = k.observeLoad
 	return k
 }
 
-// shardsLed is how many quota shards this process leads.
+// shardsLed returns the number of quota shards that this process leads.
 func (c *Controller) shardsLed() float64 {
 	leads, _ := c.leader.Leads()
 	return float64(len(leads.Terms))
 }
 
-// watchedByGateways reports whether enough gateways are linked, which watch the
-// operators' state themselves and announce each change.
+// watchedByGateways reports whether enough gateways are linked to do without a watch of the
+// controller's own. Gateways watch the operators' state themselves and report each change.
 func (c *Controller) watchedByGateways() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.links) >= coveringLinks && c.estate.View() != nil
 }
 
-// watchLead is how long the own watch may take to bring what a gateway announces.
+// watchLead returns how long to wait for the controller's own watch to deliver a change
+// that a gateway has reported.
 func (c *Controller) watchLead() time.Duration {
 	if c.watchedByGateways() {
 		return 0
@@ -149,13 +151,13 @@
 	return enginelink.WatchLead
 }
 
-// loadTook counts a load and the time that it took.
-func (c *Controller) loadTook(key sandbarrow.AdapterKey, took time.Duration) {
+// observeLoad records a load and its duration.
+func (c *Controller) observeLoad(key sandbarrow.AdapterKey, took time.Duration) {
 	c.metrics.loads.Observe(took.Seconds())
 	c.logger.Info("adapter loaded", "model", string(key.Model), "adapter", string(key.Adapter), "took_ms", took.Milliseconds())
 }
 
-// Run works until ctx ends.
+// Run runs the controller until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.watch.Run(ctx) })
@@ -168,7 +170,7 @@
 	return g.Wait()
 }
 
-// wakeEngineLoop makes the engine loop look at once whether an order is due.
+// wakeEngineLoop makes the engine loop check immediately whether an order is due.
 func (c *Controller) wakeEngineLoop() {
 	select {
 	case c.wake <- struct{}{}:
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -21,11 +21,11 @@
 	testModel   = sandbarrow.BaseModelID("base")
 	testService = sandbarrow.ServiceID("engines")
 	testSlots   = 3
-	// testModelVersion is the version of the base model that a fake engine begins with.
+	// testModelVersion is the initial version of a fake engine's base model.
 	testModelVersion = sandbarrow.ModelVersion(4)
 )
 
-// testDocuments reads a table from the key "table" and versions from others.
+// testDocuments reads a table from the key "table" and versions from all others.
 type testDocuments struct{}
 
 func (testDocuments) IsTable(key string) bool { return key == "table" }
@@ -44,7 +44,7 @@
 	return key(it.Key), sandbarrow.AdapterVersion(it.Value[0]), nil
 }
 
-// testStore only gives tokens.
+// testStore only issues tokens.
 type testStore struct{ revision sandbarrow.StoreRevision }
 
 func (s *testStore) Commit(context.Context, sandbarrow.Transaction) (sandbarrow.StoreRevision, error) {
@@ -75,25 +75,25 @@
 	return c
 }
 
-// step reads one report and gives the orders that are due.
+// step reads one report and sends the orders that are due.
 func step(t *testing.T, c *Controller) {
 	t.Helper()
 	report, err := c.report(t.Context())
 	c.applyReport(report, err)
 	if err == nil {
-		c.giveOrders(t.Context(), report.Sequence)
+		c.sendOrders(t.Context(), report.Sequence)
 	}
 }
 
-// ask asks for an adapter as a gateway would.
-func ask(c *Controller, adapter string, v sandbarrow.AdapterVersion) (*pendingRequest, *pin) {
+// requestPin requests an adapter as a gateway would.
+func requestPin(c *Controller, adapter string, v sandbarrow.AdapterVersion) (*pendingRequest, *pin) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := &pin{key: key(adapter)}
 	return c.slots.acquire(c.now(), &enginelink.Acquire{Version: v}, p), p
 }
 
-func TestEmptyEngineGetsItsBaseModel(t *testing.T) {
+func TestEmptyEngineLoadsBaseModel(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	step(t, c)
@@ -104,42 +104,42 @@
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	step(t, c)
-	w, _ := ask(c, "a", 2)
+	w, _ := requestPin(c, "a", 2)
 	step(t, c)
 	step(t, c)
 	g := <-w.grant
 	assert.Equal(t, g.Version, sandbarrow.AdapterVersion(2))
 }
 
-func TestLateOrderMissesNextStart(t *testing.T) {
+func TestLateOrderNotCarriedOutAfterRestart(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	step(t, c)
-	f.loseNext = 1
-	_, _ = ask(c, "late", 0)
-	step(t, c) // sent at sequence 1, without answer
-	assert.Equal(t, len(f.late), 1)
+	f.dropResponses = 1
+	_, _ = requestPin(c, "late", 0)
+	step(t, c) // sent at sequence 1, without a response
+	assert.Equal(t, len(f.lateOrders), 1)
 	f.restart()
-	step(t, c) // notices the restart, loads the base model: sequence 1 again
+	step(t, c) // detects the restart and loads the base model: sequence 1 again
 	c.mu.Lock()
 	c.slots.refuseAll(c.now(), enginelink.RefuseSlots)
 	c.mu.Unlock()
-	f.carryOutLate()
-	assert.Equal(t, len(f.loaded), 0, "a late order of the time before the restart was carried out")
+	f.carryOutLateOrders()
+	assert.Equal(t, len(f.loaded), 0, "a late order from before the restart was carried out")
 }
 
-func TestLateOrdersNeverOverfill(t *testing.T) {
+func TestLateOrdersNeverOverfillSlots(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	step(t, c)
 	for i := range 60 {
 		if i%3 == 0 {
-			f.loseNext = 1
+			f.dropResponses = 1
 		}
-		_, _ = ask(c, fmt.Sprintf("a%d", i%11), 0)
+		_, _ = requestPin(c, fmt.Sprintf("a%d", i%11), 0)
 		step(t, c)
 		if i%5 == 0 {
-			f.carryOutLate()
+			f.carryOutLateOrders()
 		}
 		step(t, c)
 		assert.Assert(t, !f.overfull, "after %d requests", i)
@@ -147,41 +147,41 @@
 }
 
 // An adapter in use keeps its slot.
-func TestUsedAdapterStays(t *testing.T) {
+func TestPinnedAdapterNotEvicted(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	step(t, c)
-	var uses []*pin
+	var pins []*pin
 	for i := range testSlots {
-		_, u := ask(c, fmt.Sprintf("used%d", i), 0)
-		uses = append(uses, u)
+		_, p := requestPin(c, fmt.Sprintf("used%d", i), 0)
+		pins = append(pins, p)
 	}
 	step(t, c)
 	step(t, c)
-	_, _ = ask(c, "other", 0)
+	_, _ = requestPin(c, "other", 0)
 	step(t, c)
 	step(t, c)
 	for i := range testSlots {
-		_, held := f.loaded[key(fmt.Sprintf("used%d", i))]
-		assert.Assert(t, held, "used%d", i)
+		_, present := f.loaded[key(fmt.Sprintf("used%d", i))]
+		assert.Assert(t, present, "used%d was unloaded", i)
 	}
 	c.mu.Lock()
-	c.slots.unpin(c.now(), uses[1])
+	c.slots.unpin(c.now(), pins[1])
 	c.mu.Unlock()
 	step(t, c)
 	step(t, c)
-	_, held := f.loaded[key("other")]
-	assert.Assert(t, held, "a slot came free")
+	_, present := f.loaded[key("other")]
+	assert.Assert(t, present, "the adapter was not loaded into the freed slot")
 }
 
-func TestNewVersionReplacesAfterRuns(t *testing.T) {
+func TestNewVersionWaitsForLastPin(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	step(t, c)
-	_, running := ask(c, "a", 1)
+	_, running := requestPin(c, "a", 1)
 	step(t, c)
 	step(t, c)
-	w, _ := ask(c, "a", 2)
+	w, _ := requestPin(c, "a", 2)
 	step(t, c)
 	assert.Equal(t, f.loaded[key("a")], sandbarrow.AdapterVersion(1))
 	assert.Equal(t, len(w.grant), 0)
@@ -193,7 +193,7 @@
 	assert.Equal(t, (<-w.grant).Version, sandbarrow.AdapterVersion(2))
 }
 
-func TestIdleEngineTellsFreeSlots(t *testing.T) {
+func TestIdleEngineReportsFreeSlots(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	c := newTestController(t, f)
@@ -203,7 +203,7 @@
 	assert.Equal(t, c.status().Free, testSlots)
 }
 
-func TestQueuePrefersWhatCanBeInTime(t *testing.T) {
+func TestQueuePrefersRequestsThatCanBeOnTime(t *testing.T) {
 	s := newSlots(evict.NewCost())
 	s.capacity = 1
 	now := time.Now()
@@ -224,7 +224,7 @@
 	assert.Equal(t, o.Adapter, sandbarrow.AdapterID("late"))
 }
 
-func TestUsesOutliveTheController(t *testing.T) {
+func TestPinsSurviveControllerRestart(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	for i := range testSlots {
@@ -236,28 +236,28 @@
 	for i := range testSlots - 1 {
 		l.adopt(&enginelink.Acquire{Adapter: sandbarrow.AdapterID(fmt.Sprintf("old%d", i)), ID: sandbarrow.RequestID(fmt.Sprint(i)), Model: testModel})
 	}
-	_, _ = ask(c, "new", 0)
+	_, _ = requestPin(c, "new", 0)
 	step(t, c)
 	step(t, c)
 	for i := range testSlots - 1 {
-		_, held := f.loaded[key(fmt.Sprintf("old%d", i))]
-		assert.Assert(t, held, "old%d was unloaded under a run", i)
+		_, present := f.loaded[key(fmt.Sprintf("old%d", i))]
+		assert.Assert(t, present, "old%d was unloaded while a request was using it", i)
 	}
-	_, held := f.loaded[key("new")]
-	assert.Assert(t, held)
+	_, present := f.loaded[key("new")]
+	assert.Assert(t, present)
 	l.applyProgress("0", enginelink.MethodDone)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	assert.Equal(t, c.slots.pins[key("old0")], 0)
 }
 
-// A gateway that knows another instance of the engine is refused at once, before a load.
-func TestOtherInstanceIsRefused(t *testing.T) {
+// A request that names another instance of the engine is refused before any load.
+func TestAcquireForOtherInstanceRefused(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	c := newTestController(t, f)
 	step(t, c)
-	_, _ = ask(c, "a", 0)
+	_, _ = requestPin(c, "a", 0)
 	step(t, c) // identifies the engine
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,26 +269,26 @@
 	assert.Equal(t, refusal.Refused, enginelink.RefuseInstance)
 }
 
-// A grant that comes while its link ends leaves no use behind.
-func TestGrantToEndedLinkIsReleased(t *testing.T) {
+// A grant that arrives while its link closes leaves no pin behind.
+func TestGrantToClosedLinkReleased(t *testing.T) {
 	c := newTestController(t, newFakeEngine(testSlots))
 	l := &link{closed: true, controller: c, ctx: t.Context(), pins: map[sandbarrow.RequestID]*pin{}}
 	p := &pin{key: key("a")}
 	c.mu.Lock()
 	c.slots.pin(c.now(), p)
 	c.mu.Unlock()
-	l.granted(&enginelink.Acquire{ID: "1"}, p, enginelink.Grant{}, &acquireCall{})
+	l.acceptGrant(&enginelink.Acquire{ID: "1"}, p, enginelink.Grant{}, &acquireCall{})
 	assert.Equal(t, len(l.pins), 0)
 	assert.Equal(t, c.slots.pins[key("a")], 0)
 }
 
-func TestLateLoadOfAnEarlierStartFindsASlot(t *testing.T) {
+func TestSlotReservedForLateLoadOfEarlierStart(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.sameID, f.started = true, 100
 	c := newTestController(t, f)
 	step(t, c) // loads the base model at sequence 0
-	use := func(adapter string, v sandbarrow.AdapterVersion) {
-		_, p := ask(c, adapter, v)
+	loadAndUnpin := func(adapter string, v sandbarrow.AdapterVersion) {
+		_, p := requestPin(c, adapter, v)
 		step(t, c)
 		step(t, c)
 		c.mu.Lock()
@@ -296,40 +296,40 @@
 		c.mu.Unlock()
 	}
 	for i := range testSlots {
-		use(fmt.Sprintf("first%d", i), 0)
+		loadAndUnpin(fmt.Sprintf("first%d", i), 0)
 	}
-	f.loseNext, f.loseLoads = 1, true
+	f.dropResponses, f.dropLoadsOnly = 1, true
 	c.unreported = unreportedPins{}
-	_, _ = ask(c, "late", 0)
-	step(t, c) // a slot is freed for it, then it is sent, without answer
-	assert.Equal(t, len(f.late), 1)
+	_, _ = requestPin(c, "late", 0)
+	step(t, c) // frees a slot, then sends the load, which gets no response
+	assert.Equal(t, len(f.lateOrders), 1)
 	f.restart()
 	step(t, c)
 	for i := range testSlots {
-		use(fmt.Sprintf("second%d", i), 0)
-		f.tryLate()
+		loadAndUnpin(fmt.Sprintf("second%d", i), 0)
+		f.carryOutMatchingOrders()
 	}
-	// A new version takes the place of one that is held: all slots stay taken.
-	use(fmt.Sprintf("second%d", testSlots-1), 2)
-	f.tryLate()
-	assert.Assert(t, !f.overfull, "a late load of the time before the restart found no slot")
+	// A new version replaces a loaded one, so all slots stay taken.
+	loadAndUnpin(fmt.Sprintf("second%d", testSlots-1), 2)
+	f.carryOutMatchingOrders()
+	assert.Assert(t, !f.overfull, "a late load from before the restart found no free slot")
 }
 
-func TestStartUnderTheSameID(t *testing.T) {
+func TestRestartWithSameIDDetected(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.sameID, f.started = true, 100
 	f.models = []sandbarrow.BaseModelID{testModel}
 	c := newTestController(t, f)
 	step(t, c)
-	_, _ = ask(c, "a", 0)
+	_, _ = requestPin(c, "a", 0)
 	step(t, c)
 	before := c.instance
 	assert.Equal(t, before, sandbarrow.InstanceID("engine@100"))
 	f.mu.Lock()
-	f.started = 200 // all else as it was: the models that it begins with, and the sequence
+	f.started = 200 // the models at startup and the sequence stay the same
 	f.mu.Unlock()
 	step(t, c)
-	_, _ = ask(c, "b", 0)
+	_, _ = requestPin(c, "b", 0)
 	step(t, c)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -339,30 +339,30 @@
 	assert.Equal(t, refusal.Refused, enginelink.RefuseInstance)
 }
 
-func TestEngineThatWantsNoOrdersGetsNone(t *testing.T) {
+func TestNoOrdersDuringEngineBackoff(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	c := newTestController(t, f)
 	now := time.Now()
 	c.now = func() time.Time { return now }
 	step(t, c)
 	f.backoff = 3 * time.Second
-	before := len(f.given)
-	w, _ := ask(c, "a", 0)
+	before := len(f.received)
+	w, _ := requestPin(c, "a", 0)
 	step(t, c)
 	assert.Equal(t, (<-w.grant).Refused, enginelink.RefuseBackoff)
 	for range 5 {
 		now = now.Add(500 * time.Millisecond)
-		_, _ = ask(c, "b", 0)
+		_, _ = requestPin(c, "b", 0)
 		step(t, c)
 	}
-	assert.Equal(t, len(f.given), before+1)
+	assert.Equal(t, len(f.received), before+1)
 	c.mu.Lock()
 	g, refused := c.refuseAtOnce(&enginelink.Acquire{Adapter: "b", Model: testModel})
 	c.mu.Unlock()
 	assert.Assert(t, refused && g.Refused == enginelink.RefuseBackoff)
 	f.backoff = 0
 	now = now.Add(time.Second)
-	_, _ = ask(c, "b", 0)
+	_, _ = requestPin(c, "b", 0)
 	step(t, c)
-	assert.Equal(t, len(f.given), before+2)
+	assert.Equal(t, len(f.received), before+2)
 }
--- a/controller/demand.go
+++ b/controller/demand.go
@@ -10,19 +10,21 @@
 )
 
 const (
-	// demandHalfLife is the time in which the memory of past demand halves here: an engine sees
-	// some ten times the traffic of an agent's, whose memory is longer (docs/design/placement.md).
+	// demandHalfLife is the half-life of the demand history. An engine gets about ten times
+	// the traffic of an agent, which therefore uses a longer one
+	// (docs/design/placement.md).
 	demandHalfLife = 15 * time.Second
-	// rememberedAdapters bounds the history of demand: many times the slots of an engine.
-	rememberedAdapters = 512
+	// maxTrackedAdapters bounds the demand history. It is many times the number of an
+	// engine's slots.
+	maxTrackedAdapters = 512
 )
 
 // countDemand counts a request for an adapter.
 func (s *slots) countDemand(now time.Time, key sandbarrow.AdapterKey) {
 	d := s.demands[key]
 	if d == nil {
-		if len(s.demands) >= rememberedAdapters {
-			s.forgetDemands(now)
+		if len(s.demands) >= maxTrackedAdapters {
+			s.dropLeastDemanded(now)
 		}
 		d = &decay.Count{}
 		s.demands[key] = d
@@ -30,7 +32,7 @@
 	d.Add(now, demandHalfLife)
 }
 
-// demandRate is the decayed demand of an adapter in requests per second.
+// demandRate returns the decayed demand of an adapter in requests per second.
 func (s *slots) demandRate(now time.Time, key sandbarrow.AdapterKey) float64 {
 	d := s.demands[key]
 	if d == nil {
@@ -39,8 +41,8 @@
 	return d.Value(now, demandHalfLife) * math.Ln2 / demandHalfLife.Seconds()
 }
 
-// forgetDemands drops the half of the demands that are least.
-func (s *slots) forgetDemands(now time.Time) {
+// dropLeastDemanded drops the half of the history with the least demand.
+func (s *slots) dropLeastDemanded(now time.Time) {
 	keys := make([]sandbarrow.AdapterKey, 0, len(s.demands))
 	for k := range s.demands {
 		keys = append(keys, k)
--- a/controller/orphan_test.go
+++ b/controller/detachedpin_test.go
@@ -16,8 +16,8 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// linkTo opens a link as a gateway does; got is told each message, nil for none.
-func linkTo(ctx context.Context, c *Controller, got func(*jsonrpc2.Request)) *jsonrpc2.Conn {
+// openLink opens a link as a gateway does. got is called with each message; it may be nil.
+func openLink(ctx context.Context, c *Controller, got func(*jsonrpc2.Request)) *jsonrpc2.Conn {
 	near, far := net.Pipe()
 	go c.serveLink(ctx, near)
 	return jsonrpc2.NewConn(ctx, wire.NewStream(far), wire.Handler(func(_ context.Context, r *jsonrpc2.Request) (any, error) {
@@ -28,13 +28,13 @@
 	}))
 }
 
-func (c *Controller) linked() int {
+func (c *Controller) linkCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.links)
 }
 
-func (c *Controller) usesOf(adapter string) int {
+func (c *Controller) pinsOn(adapter string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.slots.pins[key(adapter)]
@@ -42,31 +42,31 @@
 
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
-	await.Until(t, 5*time.Second, "what is awaited", ok)
+	await.Until(t, 5*time.Second, "the expected state", ok)
 }
 
-func TestUseOutlivesItsLink(t *testing.T) {
+func TestPinOutlivesItsLink(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	f.loaded[key("a")] = 1
 	c := newTestController(t, f)
 	step(t, c)
-	ask := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, WaitMS: 100}
-	first := linkTo(t.Context(), c, nil)
+	request := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, WaitMS: 100}
+	first := openLink(t.Context(), c, nil)
 	var g enginelink.Grant
-	assert.NilError(t, first.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
+	assert.NilError(t, first.Call(t.Context(), enginelink.MethodAcquire, request, &g))
 	assert.NilError(t, first.Close())
-	eventually(t, func() bool { return c.linked() == 0 })
-	assert.Equal(t, c.usesOf("a"), 1, "the request may run still")
-	second := linkTo(t.Context(), c, nil)
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, ask))
-	time.Sleep(orphanGrace + 100*time.Millisecond)
-	assert.Equal(t, c.usesOf("a"), 1, "its gateway has linked anew")
+	eventually(t, func() bool { return c.linkCount() == 0 })
+	assert.Equal(t, c.pinsOn("a"), 1, "the request may still be running")
+	second := openLink(t.Context(), c, nil)
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, request))
+	time.Sleep(detachedPinGrace + 100*time.Millisecond)
+	assert.Equal(t, c.pinsOn("a"), 1, "its gateway has linked again")
 	assert.NilError(t, second.Close())
-	eventually(t, func() bool { return c.usesOf("a") == 0 })
+	eventually(t, func() bool { return c.pinsOn("a") == 0 })
 }
 
-func TestPinsOfAnotherGatewayAreAwaited(t *testing.T) {
+func TestNoUnloadBeforeOtherGatewayReportsPins(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	for i := range testSlots {
@@ -75,12 +75,12 @@
 	c := newTestController(t, f)
 	step(t, c)
 	for range 2 {
-		assert.NilError(t, linkTo(t.Context(), c, nil).Close())
+		assert.NilError(t, openLink(t.Context(), c, nil).Close())
 	}
-	eventually(t, func() bool { return c.linked() == 0 })
-	time.Sleep(orphanGrace + 100*time.Millisecond)
-	first := linkTo(t.Context(), c, nil)
-	eventually(t, func() bool { return c.linked() == 1 })
+	eventually(t, func() bool { return c.linkCount() == 0 })
+	time.Sleep(detachedPinGrace + 100*time.Millisecond)
+	first := openLink(t.Context(), c, nil)
+	eventually(t, func() bool { return c.linkCount() == 1 })
 	_, err := first.DispatchCall(t.Context(), enginelink.MethodAcquire, enginelink.Acquire{Adapter: "new", ID: "1", Model: testModel, WaitMS: 2000})
 	assert.NilError(t, err)
 	eventually(t, func() bool {
@@ -90,10 +90,10 @@
 	})
 	step(t, c)
 	for i := range testSlots {
-		_, held := f.loaded[key(fmt.Sprintf("old%d", i))]
-		assert.Check(t, held, "old%d was unloaded before the other gateway could report its pins", i)
+		_, present := f.loaded[key(fmt.Sprintf("old%d", i))]
+		assert.Check(t, present, "old%d was unloaded before the other gateway could report its pins", i)
 	}
-	time.Sleep(orphanGrace)
+	time.Sleep(detachedPinGrace)
 	eventually(t, func() bool {
 		step(t, c)
 		_, loaded := f.loaded[key("new")]
@@ -101,22 +101,22 @@
 	})
 }
 
-func TestDoneEndsTheOrphanToo(t *testing.T) {
+func TestDoneReleasesDetachedPin(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	f.loaded[key("a")] = 1
 	c := newTestController(t, f)
 	step(t, c)
-	ask := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, WaitMS: 100}
-	first := linkTo(t.Context(), c, nil)
+	request := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, WaitMS: 100}
+	first := openLink(t.Context(), c, nil)
 	var g enginelink.Grant
-	assert.NilError(t, first.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
-	second := linkTo(t.Context(), c, nil) // the gateway has given the first one up, which is still open here
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, ask))
-	eventually(t, func() bool { return c.usesOf("a") == 2 })
+	assert.NilError(t, first.Call(t.Context(), enginelink.MethodAcquire, request, &g))
+	second := openLink(t.Context(), c, nil) // the gateway has dropped the first link, which is still open here
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, request))
+	eventually(t, func() bool { return c.pinsOn("a") == 2 })
 	assert.NilError(t, first.Close())
-	eventually(t, func() bool { return c.linked() == 1 })
+	eventually(t, func() bool { return c.linkCount() == 1 })
 	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: "1"}))
-	time.Sleep(orphanGrace + 200*time.Millisecond)
-	assert.Equal(t, c.usesOf("a"), 0, "the request has ended")
+	time.Sleep(detachedPinGrace + 200*time.Millisecond)
+	assert.Equal(t, c.pinsOn("a"), 0, "the request is done")
 }
--- a/controller/engineloop.go
+++ b/controller/engineloop.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// reportTimeout bounds one report and one look at which instance answers: the engine is on the
-	// same box.
+	// reportTimeout bounds one report and one request for the engine's identity. The engine
+	// is on the same box.
 	reportTimeout = 400 * time.Millisecond
-	// idlePoll is the pause between two reports while nothing is under way, short enough to see a
-	// drain or a restart in time.
+	// idlePoll is the pause between two reports while no load is in progress. It is short
+	// enough to detect a drain or a restart in time.
 	idlePoll = 250 * time.Millisecond
-	// loadingPoll is the pause while an adapter is being loaded or replaced: short against a recall
-	// (30 ms).
+	// loadingPoll is the pause while an adapter is being loaded or replaced. It is short
+	// compared with a recall (30 ms).
 	loadingPoll = 15 * time.Millisecond
 	// unreachablePoll is the pause after a failed report.
 	unreachablePoll = 150 * time.Millisecond
-	// unreachableAfter is how many reports in a row must fail for the engine to count as
-	// unreachable: one alone may be lost.
+	// unreachableAfter is the number of consecutive failed reports after which the engine
+	// counts as unreachable. A single report may be lost.
 	unreachableAfter = 2
 )
 
-// engineLoop reads reports and gives orders, one at a time, until ctx ends.
+// engineLoop reads reports and sends orders, one at a time, until ctx is done.
 func (c *Controller) engineLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		report, err := c.report(ctx)
 		pause := c.applyReport(report, err)
 		if err == nil {
-			pause = min(pause, c.giveOrders(ctx, report.Sequence))
+			pause = min(pause, c.sendOrders(ctx, report.Sequence))
 		}
-		c.published.announce()
+		c.published.markChanged()
 		select {
 		case <-time.After(pause):
 		case <-c.wake:
@@ -51,12 +51,12 @@
 	return c.control.Report(ctx)
 }
 
-// applyReport brings the last known state in line with a report, or counts a failed
-// one, and returns when to read the next.
+// applyReport updates the cached state from a report, or counts a failed one. It returns
+// the pause before the next report.
 func (c *Controller) applyReport(r sandbarrow.EngineReport, err error) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteRuns(c.now())
+	c.checkSuspension(c.now())
 	if err != nil {
 		c.countFailedReport(err)
 		return unreachablePoll
@@ -68,8 +68,8 @@
 	if c.hasRestarted(&r) {
 		c.logger.Warn("engine restarted", "sequence", r.Sequence, "before", c.sequence, "instance", string(c.instance))
 		c.backoffUntil, c.instance = time.Time{}, ""
-		c.late.restarted()
-		c.slots.restarted(c.now())
+		c.late.engineRestarted()
+		c.slots.engineRestarted(c.now())
 	}
 	if r.Draining && !c.reported.Draining {
 		c.logger.Info("engine draining")
@@ -89,17 +89,18 @@
 	return idlePoll
 }
 
-// noteRuns notes that this process runs, and writes a line where it did not for a while.
-// The caller holds mu.
-func (c *Controller) noteRuns(now time.Time) {
-	if frozen := c.unreported.runs(now); frozen > 0 {
-		c.logger.Warn("controller did not run, unloads wait", "took_ms", frozen.Milliseconds())
+// checkSuspension records that this process is running, and logs a line if it was
+// suspended. The caller holds mu.
+func (c *Controller) checkSuspension(now time.Time) {
+	if suspended := c.unreported.recordRun(now); suspended > 0 {
+		c.logger.Warn("controller did not run, unloads wait", "took_ms", suspended.Milliseconds())
 	}
 }
 
-// hasRestarted reports whether a report is of a later start of the engine than the last
-// one: it says so, its count of orders began anew, or it holds no base model any more,
-// which none is ever ordered to unload. The caller holds mu.
+// hasRestarted reports whether a report comes from a later start of the engine than the
+// last one. Either the start time differs, the order sequence began again, or the engine no
+// longer has a base model. The controller never orders the unload of a base model. The
+// caller holds mu.
 func (c *Controller) hasRestarted(r *sandbarrow.EngineReport) bool {
 	if r.Started != 0 && c.reported.Started != 0 && r.Started != c.reported.Started {
 		return true
@@ -107,8 +108,8 @@
 	return r.Sequence < c.sequence || len(r.Models) == 0 && len(c.reported.Models) > 0
 }
 
-// logNewModels writes a line for each base model that the last report did not have at
-// its version. The caller holds mu.
+// logNewModels logs each base model that was missing from the last report or had another
+// version there. The caller holds mu.
 func (c *Controller) logNewModels(models []sandbarrow.LoadedModel) {
 	for _, m := range models {
 		known := slices.ContainsFunc(c.reported.Models, func(old sandbarrow.LoadedModel) bool {
@@ -121,8 +122,8 @@
 	}
 }
 
-// countFailedReport counts a report without answer. The engine may have restarted
-// meanwhile, so that its instance is not known any more. The caller holds mu.
+// countFailedReport counts a failed report. The engine may have restarted in the meantime,
+// so its instance is unknown from here on. The caller holds mu.
 func (c *Controller) countFailedReport(err error) {
 	c.failedReports++
 	c.instance = ""
@@ -132,18 +133,18 @@
 	}
 }
 
-// applyCapacity applies what the operators' state says of the engine's size; before that
-// is known it counts as nothing. The caller holds mu.
+// applyCapacity applies the engine's size from the operators' state. The capacity is zero
+// until that state is known. The caller holds mu.
 func (c *Controller) applyCapacity() {
 	c.slots.capacity = 0
 	if service := c.ownService(); service != nil && service.Engine != nil {
-		c.slots.capacity = max(1, service.Engine.AdapterSlots-c.late.possible(c.now(), c.sequence))
-		c.slots.kept.SetCapacity(service.Engine.MemoryTokens)
+		c.slots.capacity = max(1, service.Engine.AdapterSlots-c.late.slotsToReserve(c.now(), c.sequence))
+		c.slots.cached.SetCapacity(service.Engine.MemoryTokens)
 	}
 }
 
-// ownService is the engine's service by the operators' state, or nil where it is not
-// known.
+// ownService returns the engine's service from the operators' state, or nil if it is
+// unknown.
 func (c *Controller) ownService() *route.Service {
 	view := c.estate.View()
 	if view == nil {
--- a/controller/fakeengine_test.go
+++ b/controller/fakeengine_test.go
@@ -10,7 +10,7 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// fakeEngine is an engine that can restart, lose answers and carry out orders late.
+// fakeEngine is an engine that can restart, lose responses and carry out orders late.
 type fakeEngine struct {
 	mu       sync.Mutex
 	slots    int
@@ -18,23 +18,24 @@
 	sequence uint64
 	loaded   map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion
 	models   []sandbarrow.BaseModelID
-	// modelVersion is that of all base models.
+	// modelVersion is the version of all base models.
 	modelVersion sandbarrow.ModelVersion
 	token        sandbarrow.FencingToken
-	// loseNext makes the next orders get no answer; late keeps them.
-	loseNext int
-	late     []sandbarrow.EngineOrder
-	given    []sandbarrow.EngineOrder
-	overfull bool
-	// sameID lets it start again under its id; started tells the starts apart then.
+	// dropResponses is the number of orders to come that get no response; lateOrders holds them.
+	dropResponses int
+	lateOrders    []sandbarrow.EngineOrder
+	received      []sandbarrow.EngineOrder
+	overfull      bool
+	// sameID makes the engine restart with the same ID; started then tells the starts
+	// apart.
 	sameID bool
-	// loseLoads lets loseNext count loads alone.
-	loseLoads bool
-	started   sandbarrow.UnixMillis
-	// backoff refuses orders and says for how long it wants none; 0 carries them out.
-	backoff time.Duration
-	leaving bool
-	silent  bool
+	// dropLoadsOnly makes dropResponses apply to loads only.
+	dropLoadsOnly bool
+	started       sandbarrow.UnixMillis
+	// backoff makes the engine refuse orders with this backoff; 0 carries them out.
+	backoff     time.Duration
+	draining    bool
+	unreachable bool
 }
 
 func newFakeEngine(slots int) *fakeEngine {
@@ -57,16 +58,16 @@
 func (f *fakeEngine) Report(context.Context) (sandbarrow.EngineReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.silent {
+	if f.unreachable {
 		return sandbarrow.EngineReport{}, sandbarrow.ErrUpstreamUnknown
 	}
-	r := sandbarrow.EngineReport{Draining: f.leaving, Sequence: f.sequence, Started: f.started}
+	r := sandbarrow.EngineReport{Draining: f.draining, Sequence: f.sequence, Started: f.started}
 	for _, m := range f.models {
-		held := sandbarrow.LoadedModel{Model: m, Version: f.modelVersion}
+		model := sandbarrow.LoadedModel{Model: m, Version: f.modelVersion}
 		for k, v := range f.loaded {
-			held.Adapters = append(held.Adapters, sandbarrow.LoadedAdapter{Adapter: k.Adapter, Version: v})
+			model.Adapters = append(model.Adapters, sandbarrow.LoadedAdapter{Adapter: k.Adapter, Version: v})
 		}
-		r.Models = append(r.Models, held)
+		r.Models = append(r.Models, model)
 	}
 	return r, nil
 }
@@ -74,13 +75,13 @@
 func (f *fakeEngine) Order(_ context.Context, o sandbarrow.EngineOrder) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.given = append(f.given, o)
+	f.received = append(f.received, o)
 	if f.backoff > 0 {
 		return false, &sandbarrow.BackoffError{Err: sandbarrow.ErrOrderUnknown, Wait: f.backoff}
 	}
-	if f.loseNext > 0 && (o.Load || !f.loseLoads) {
-		f.loseNext--
-		f.late = append(f.late, o)
+	if f.dropResponses > 0 && (o.Load || !f.dropLoadsOnly) {
+		f.dropResponses--
+		f.lateOrders = append(f.lateOrders, o)
 		return false, sandbarrow.ErrOrderUnknown
 	}
 	return f.carryOut(o)
@@ -105,7 +106,7 @@
 		delete(f.loaded, key)
 		return true, nil
 	default:
-		if _, held := f.loaded[key]; !held && len(f.loaded) >= f.slots {
+		if _, present := f.loaded[key]; !present && len(f.loaded) >= f.slots {
 			f.overfull = true
 		}
 		f.loaded[key] = max(1, o.Version)
@@ -113,42 +114,43 @@
 	return false, nil
 }
 
-// tryLate carries out what got no answer and fits by now; the rest stays on its way.
-func (f *fakeEngine) tryLate() {
+// carryOutMatchingOrders carries out the late orders that match the current sequence and
+// keeps the others.
+func (f *fakeEngine) carryOutMatchingOrders() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.late = slices.DeleteFunc(f.late, func(o sandbarrow.EngineOrder) bool {
-		o.Token = f.token // the engine has forgotten the tokens of before
+	f.lateOrders = slices.DeleteFunc(f.lateOrders, func(o sandbarrow.EngineOrder) bool {
+		o.Token = f.token // the engine lost the token in the restart
 		_, err := f.carryOut(o)
 		return err == nil
 	})
 }
 
-// carryOutLate carries out what got no answer.
-func (f *fakeEngine) carryOutLate() {
+// carryOutLateOrders carries out the late orders that still match and drops the others.
+func (f *fakeEngine) carryOutLateOrders() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, o := range f.late {
+	for _, o := range f.lateOrders {
 		_, _ = f.carryOut(o)
 	}
-	f.late = nil
+	f.lateOrders = nil
 }
 
-// replace makes the engine hold another version of an adapter.
-func (f *fakeEngine) replace(k sandbarrow.AdapterKey, v sandbarrow.AdapterVersion) {
+// setAdapterVersion replaces the loaded version of an adapter.
+func (f *fakeEngine) setAdapterVersion(k sandbarrow.AdapterKey, v sandbarrow.AdapterVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loaded[k] = v
 }
 
-// renewModel makes the engine run other weights of its base model.
-func (f *fakeEngine) renewModel(v sandbarrow.ModelVersion) {
+// setModelVersion replaces the weights of the base model.
+func (f *fakeEngine) setModelVersion(v sandbarrow.ModelVersion) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.modelVersion = v
 }
 
-// restart empties the engine.
+// restart restarts the engine without models and adapters.
 func (f *fakeEngine) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/controller/gatewaylink.go
+++ b/controller/gatewaylink.go
@@ -15,49 +15,49 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// relayedMost is how many messages of other gateways wait for a slow link: a gateway that misses
-// one reads the list itself.
-const relayedMost = 4
+// maxRelayed is the number of other gateways' messages that are queued for a slow link. A
+// gateway that misses one reads the list from the store.
+const maxRelayed = 4
 
-// link is the connection of one gateway: it speaks the protocol and owns the pins
-// of its requests.
+// link is the connection of one gateway. It implements the protocol and owns the pins of
+// the gateway's requests.
 type link struct {
-	// closed says that the pins of the link became orphans; guarded by the
-	// controller's mu.
+	// closed reports that the link's pins were detached; guarded by the controller's mu.
 	closed     bool
 	controller *Controller
 	ctx        context.Context
-	// limitsDue is sent to when upstreams say something else of their limits.
+	// limitsDue signals that the upstreams' limits have changed.
 	limitsDue chan struct{}
 	statusDue chan struct{}
-	// relayed holds the messages of other gateways that this one is to get.
-	relayed chan json.RawMessage
-	rpc     *jsonrpc2.Conn
-	// stream is what rpc reads and writes.
+	// relayQueue holds messages of other gateways to pass on to this one.
+	relayQueue chan json.RawMessage
+	rpc        *jsonrpc2.Conn
+	// stream is the stream that rpc reads and writes.
 	stream *wire.Stream
-	// calls are the acquires without an answer, guarded by the controller's mu.
+	// calls holds the acquire calls without a reply, guarded by the controller's mu.
 	calls map[sandbarrow.RequestID]*acquireCall
 	// pins is guarded by the controller's mu.
 	pins map[sandbarrow.RequestID]*pin
-	// readsChanges says that the gateway reads statuses that carry changes; guarded by the
-	// controller's mu.
-	readsChanges bool
+	// acceptsChanges reports that the gateway understands statuses that contain only
+	// changes; guarded by the controller's mu.
+	acceptsChanges bool
 }
 
-// Serve accepts links of gateways until ctx ends.
+// Serve accepts links of gateways until ctx is done.
 func (c *Controller) Serve(ctx context.Context, listener net.Listener) error {
 	return enginelink.Accept(ctx, listener, c.logger, c.serveLink)
 }
 
-// serveLink works over one connection until it ends. Its pins become orphans then.
+// serveLink serves one connection until it closes. The link's pins are then detached.
 func (c *Controller) serveLink(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l := &link{
-		calls: map[sandbarrow.RequestID]*acquireCall{}, controller: c, ctx: ctx, limitsDue: make(chan struct{}, 1), statusDue: make(chan struct{}, 1), relayed: make(chan json.RawMessage, relayedMost),
+		calls: map[sandbarrow.RequestID]*acquireCall{}, controller: c, ctx: ctx, limitsDue: make(chan struct{}, 1), statusDue: make(chan struct{}, 1), relayQueue: make(chan json.RawMessage, maxRelayed),
 		pins: map[sandbarrow.RequestID]*pin{}, stream: wire.NewStreamSize(conn, enginelink.ReadBufferBytes),
 	}
-	// The handler waits for l.rpc, which NewConn returns after it has begun to read.
+	// The handler waits until l.rpc is set, because NewConn starts reading before it
+	// returns.
 	ready := make(chan struct{})
 	l.rpc = jsonrpc2.NewConn(ctx, l.stream, wire.Handler(func(ctx context.Context, r *jsonrpc2.Request) (any, error) {
 		<-ready
@@ -66,15 +66,15 @@
 	close(ready)
 	c.mu.Lock()
 	c.links[l] = true
-	c.unreported.linked(c.now(), len(c.links))
-	c.published.announce()
+	c.unreported.linkOpened(c.now(), len(c.links))
+	c.published.markChanged()
 	c.mu.Unlock()
 	go enginelink.AnnounceMarks(ctx, l.rpc, c.estate)
 	go l.sendStatuses(ctx)
-	go l.tellCrashes(ctx)
-	go l.tellLimits(ctx)
+	go l.sendCrashes(ctx)
+	go l.sendLimits(ctx)
 	if c.leader != nil {
-		go l.announceLeads(ctx)
+		go l.sendLeads(ctx)
 	}
 	select {
 	case <-l.rpc.DisconnectNotify():
@@ -86,13 +86,13 @@
 	delete(c.links, l)
 	l.closed = true
 	for id, p := range l.pins {
-		c.orphan(id, p)
+		c.detachPin(id, p)
 	}
-	c.published.announce()
+	c.published.markChanged()
 	c.wakeEngineLoop()
 }
 
-// handle serves one message of the gateway.
+// handle processes one message of the gateway.
 func (l *link) handle(_ context.Context, r *jsonrpc2.Request) (any, error) {
 	c := l.controller
 	switch r.Method {
@@ -101,9 +101,10 @@
 		if err := wire.Decode(r, &q); err != nil {
 			return nil, err
 		}
-		// It is kept before the next message, which may end it.
-		a := l.keepCall(q.ID)
-		go func() { _ = l.rpc.Reply(context.Background(), r.ID, l.acquire(&q, a)) }() // a gateway that left needs no reply
+		// The call is registered before the next message is read, because that message may
+		// cancel it.
+		a := l.addCall(q.ID)
+		go func() { _ = l.rpc.Reply(context.Background(), r.ID, l.acquire(&q, a)) }() // a closed link needs no reply
 		return nil, wire.ErrLater
 	case enginelink.MethodCrashes:
 		var m enginelink.Crashes
@@ -119,7 +120,7 @@
 		if err := wire.Decode(r, &h); err != nil {
 			return nil, err
 		}
-		c.greet(l, &h)
+		c.applyHello(l, &h)
 		return nil, nil
 	case enginelink.MethodListed:
 		if r.Params != nil {
@@ -151,19 +152,19 @@
 	return l.handleLimit(r)
 }
 
-// handleLimit serves a message about the limits of upstreams.
+// handleLimit processes a message about the limits of upstreams.
 func (l *link) handleLimit(r *jsonrpc2.Request) (any, error) {
-	answer, changed, handled, err := l.controller.limits.Handle(r)
+	reply, changed, handled, err := l.controller.limits.Handle(r)
 	if !handled {
 		return l.handleQuota(r)
 	}
 	if changed != nil {
-		l.controller.announceLimit(l, changed)
+		l.controller.broadcastLimit(l, changed)
 	}
-	return answer, err
+	return reply, err
 }
 
-// handleQuota serves a message to the leader of quota shards.
+// handleQuota processes a message for the leader of quota shards.
 func (l *link) handleQuota(r *jsonrpc2.Request) (any, error) {
 	lead := l.controller.leader
 	switch {
@@ -185,27 +186,28 @@
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
 
-// greet takes what a gateway knows of this controller's engine from before a restart.
-func (c *Controller) greet(l *link, h *enginelink.Hello) {
+// applyHello applies what a gateway knows about this controller's engine from before a
+// restart.
+func (c *Controller) applyHello(l *link, h *enginelink.Hello) {
 	if h.Token > 0 {
 		c.raiseToken(h.Token, string(h.Box))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.readsChanges = h.Changes
-	c.slots.reading.speed.Adopt(h.Speed)
+	l.acceptsChanges = h.Changes
+	c.slots.prefills.speed.Adopt(h.Speed)
 }
 
-// tellCrashes tells the gateway what the others have told of requests under which upstreams
-// end.
-func (l *link) tellCrashes(ctx context.Context) {
+// sendCrashes sends the gateway the other gateways' reports of requests that crash
+// upstreams.
+func (l *link) sendCrashes(ctx context.Context) {
 	l.controller.crashes.Follow(ctx, l, func(records []crash.Record) error {
 		return l.rpc.Notify(ctx, enginelink.MethodCrashes, enginelink.Crashes{Records: records})
 	})
 }
 
-// announceLimit makes all links but one tell what an upstream says of its limit.
-func (c *Controller) announceLimit(except *link, r *throttle.Record) {
+// broadcastLimit makes all links except one send an upstream's changed limit.
+func (c *Controller) broadcastLimit(except *link, r *throttle.Record) {
 	c.logger.Info("limit of an upstream", "upstream", string(r.Instance), "rate", float64(r.Rate), "ended", r.Ended, "age_ms", r.AgeMS)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +218,7 @@
 	}
 }
 
-// notifyLimits makes the link tell what upstreams say of their limits.
+// notifyLimits makes the link send the upstreams' limits.
 func (l *link) notifyLimits() {
 	select {
 	case l.limitsDue <- struct{}{}:
@@ -224,9 +226,10 @@
 	}
 }
 
-// tellLimits tells the gateway what the others have told of upstreams' limits, at once and
-// whenever that changes, so that it knows them before it is answered itself.
-func (l *link) tellLimits(ctx context.Context) {
+// sendLimits sends the gateway the limits that other gateways have reported, first on
+// connection and again after each change. The gateway then knows a limit before an
+// upstream's response names it.
+func (l *link) sendLimits(ctx context.Context) {
 	for ctx.Err() == nil {
 		records := l.controller.limits.Records()
 		if len(records) > 0 && l.rpc.Notify(ctx, enginelink.MethodLimit, enginelink.Limits{Records: records}) != nil {
@@ -239,8 +242,9 @@
 	}
 }
 
-// announceLeads sends which quota shards this process leads, whenever that changes.
-func (l *link) announceLeads(ctx context.Context) {
+// sendLeads sends which quota shards this process leads, first on connection and again
+// after each change.
+func (l *link) sendLeads(ctx context.Context) {
 	for ctx.Err() == nil {
 		leads, changed := l.controller.leader.Leads()
 		if err := l.rpc.Notify(ctx, enginelink.MethodLeads, leads); err != nil {
@@ -261,21 +265,21 @@
 	}
 }
 
-// sendStatuses sends the status at once, then each published one. One that is
-// overtaken while the link is slow is left out.
+// sendStatuses sends the status immediately, then each published one. On a slow link,
+// superseded statuses are skipped.
 func (l *link) sendStatuses(ctx context.Context) {
-	sent, keptAt := uint64(0), uint64(0)
+	sent, cacheChange := uint64(0), uint64(0)
 	for ctx.Err() == nil {
 		l.controller.mu.Lock()
-		message, holds := l.controller.published.message(sent, l.readsChanges)
+		message, contentVersion := l.controller.published.message(sent, l.acceptsChanges)
 		l.controller.mu.Unlock()
 		if message != nil {
 			if err := l.stream.Send(message); err != nil {
 				return
 			}
-			sent = holds
+			sent = contentVersion
 		}
-		if keptAt = l.sendKept(ctx, keptAt); keptAt == 0 {
+		if cacheChange = l.sendCacheChanges(ctx, cacheChange); cacheChange == 0 {
 			return
 		}
 		if !l.relayUntilStatus(ctx) {
@@ -284,12 +288,12 @@
 	}
 }
 
-// sendKept reports what changed of the prompt parts that the engine keeps since a
-// number, and returns the next number, or 0 when the link has ended.
-func (l *link) sendKept(ctx context.Context, after uint64) uint64 {
+// sendCacheChanges sends the changes of the engine's cached prompt prefixes after a change
+// number. It returns the next number, or 0 if the link has closed.
+func (l *link) sendCacheChanges(ctx context.Context, after uint64) uint64 {
 	c := l.controller
 	c.mu.Lock()
-	changes, all, next := c.slots.kept.Changes(after)
+	changes, all, next := c.slots.cached.Changes(after)
 	message := enginelink.Kept{All: all, Changes: slices.Clone(changes)}
 	c.mu.Unlock()
 	if len(changes) == 0 && !all {
@@ -301,14 +305,14 @@
 	return next
 }
 
-// relayUntilStatus passes on the messages of other gateways until there is a status
-// to send. It returns false when the link has ended.
+// relayUntilStatus passes on the messages of other gateways until there is a status to
+// send. It returns false if the link has closed.
 func (l *link) relayUntilStatus(ctx context.Context) bool {
 	for {
 		select {
 		case <-l.statusDue:
 			return true
-		case m := <-l.relayed:
+		case m := <-l.relayQueue:
 			if err := l.rpc.Notify(ctx, enginelink.MethodListed, m); err != nil {
 				return false
 			}
@@ -318,8 +322,8 @@
 	}
 }
 
-// relay passes a gateway's message on to all others. One whose link is slow
-// misses it, and asks the store itself.
+// relay passes a gateway's message on to all others. A gateway with a slow link misses the
+// message and queries the store itself.
 func (c *Controller) relay(from *link, m json.RawMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -328,7 +332,7 @@
 			continue
 		}
 		select {
-		case l.relayed <- m:
+		case l.relayQueue <- m:
 		default:
 		}
 	}
--- a/controller/loadwindow_test.go
+++ b/controller/loadwindow_test.go
@@ -11,7 +11,7 @@
 	"sandbarrow.example/sandbarrow/evict"
 )
 
-func TestLoadWindow(t *testing.T) {
+func TestLoadWindowFollowsLoadTimes(t *testing.T) {
 	w := newLoadWindow()
 	assert.Equal(t, w.size(), 1)
 	for range 20 {
@@ -27,7 +27,7 @@
 	assert.Equal(t, w.size(), 2)
 }
 
-func TestUnexpectedRecallKeepsTheWindowOpen(t *testing.T) {
+func TestUnexpectedRecallDoesNotShrinkLoadWindow(t *testing.T) {
 	s := newSlots(evict.NewCost())
 	for range 20 {
 		s.countLoad(&slot{}, 265*time.Millisecond)
@@ -38,16 +38,16 @@
 		s.countLoad(&slot{}, 265*time.Millisecond)
 	}
 	assert.Equal(t, s.window.size(), maxLoading)
-	assert.Equal(t, s.window.seen, enginelink.Loads{Count: 40, TookMS: 265})
+	assert.Equal(t, s.window.observed, enginelink.Loads{Count: 40, TookMS: 265})
 }
 
-func TestCrowdedLoadsComeByValue(t *testing.T) {
+func TestContendedLoadsOrderedByValue(t *testing.T) {
 	s := newSlots(evict.NewCost())
 	s.capacity = 6
 	now := time.Now()
 	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel, Adapters: []sandbarrow.LoadedAdapter{{Adapter: "known", Version: 1}}}}, nil)
-	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel}}, nil) // known left its slot
-	want := func(adapter string, requests int) {
+	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel}}, nil) // "known" is evicted from its slot
+	request := func(adapter string, requests int) {
 		for range requests {
 			s.acquire(now, &enginelink.Acquire{UsefulMS: 1000}, &pin{key: key(adapter)})
 		}
@@ -60,20 +60,20 @@
 		s.applyOrder(now, &o, false)
 		return o.Adapter
 	}
-	want("rare", 1)
-	want("busy", 5)
+	request("rare", 1)
+	request("busy", 5)
 	assert.Equal(t, order(), sandbarrow.AdapterID("busy"))
-	assert.Equal(t, order(), sandbarrow.AdapterID(""), "one load at a time until loads are known to be fast")
-	want("known", 1)
-	assert.Equal(t, order(), sandbarrow.AdapterID("known"), "the engine's own memory is no part of the crowd")
+	assert.Equal(t, order(), sandbarrow.AdapterID(""), "one load at a time until load times are known")
+	request("known", 1)
+	assert.Equal(t, order(), sandbarrow.AdapterID("known"), "a recall does not count in the load window")
 }
 
-func TestOlderVersionIsNoRecall(t *testing.T) {
+func TestOlderVersionNotRecalled(t *testing.T) {
 	s := newSlots(evict.NewCost())
 	s.capacity = 6
 	now := time.Now()
 	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel, Adapters: []sandbarrow.LoadedAdapter{{Adapter: "known", Version: 1}}}}, nil)
-	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel}}, nil) // known left its slot
+	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel}}, nil) // "known" is evicted from its slot
 	load := func(adapter string, v sandbarrow.AdapterVersion) bool {
 		s.acquire(now, &enginelink.Acquire{UsefulMS: 1000, Version: v}, &pin{key: key(adapter)})
 		o, ok := s.nextOrder(now, true)
@@ -85,5 +85,5 @@
 	assert.Assert(t, load("known", 2))
 	assert.Assert(t, !s.slots[key("known")].recalled)
 	assert.Equal(t, s.loadingFromStore(), 1)
-	assert.Assert(t, !load("other", 1), "one load at a time until loads are known to be fast")
+	assert.Assert(t, !load("other", 1), "one load at a time until load times are known")
 }
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -7,21 +7,21 @@
 	"sandbarrow.example/sandbarrow/enginelink"
 )
 
-// metrics are the controller's figures.
+// metrics holds the controller's metrics.
 type metrics struct {
-	answerBase    prometheus.Gauge
-	loads         prometheus.Histogram
-	modelVersion  *prometheus.GaugeVec
-	orders        *prometheus.CounterVec
-	readPerToken  prometheus.Gauge
-	readWindow    prometheus.Gauge
-	refusals      *prometheus.CounterVec
-	tokensWaiting prometheus.Gauge
+	responseBase    prometheus.Gauge
+	loads           prometheus.Histogram
+	modelVersion    *prometheus.GaugeVec
+	orders          *prometheus.CounterVec
+	prefillPerToken prometheus.Gauge
+	prefillWindow   prometheus.Gauge
+	refusals        *prometheus.CounterVec
+	tokensWaiting   prometheus.Gauge
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
-		answerBase: prometheus.NewGauge(prometheus.GaugeOpts{
+		responseBase: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sandbarrow_controller_answer_base_seconds", Help: "Estimated time to an answer's first event beside reading the prompt.",
 		}),
 		loads: prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -34,10 +34,10 @@
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sandbarrow_controller_orders_total", Help: "Orders to the engine, by operation and outcome.",
 		}, []string{"operation", "outcome"}),
-		readPerToken: prometheus.NewGauge(prometheus.GaugeOpts{
+		prefillPerToken: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sandbarrow_controller_read_seconds_per_token", Help: "Estimated time for the engine to read one prompt token.",
 		}),
-		readWindow: prometheus.NewGauge(prometheus.GaugeOpts{
+		prefillWindow: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "sandbarrow_controller_read_window_tokens", Help: "Prompt tokens that the engine may have to read at once.",
 		}),
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -47,11 +47,11 @@
 			Name: "sandbarrow_controller_waiting_tokens", Help: "Prompt tokens that the engine has yet to read.",
 		}),
 	}
-	r.MustRegister(m.answerBase, m.loads, m.modelVersion, m.orders, m.readPerToken, m.readWindow, m.refusals, m.tokensWaiting)
+	r.MustRegister(m.responseBase, m.loads, m.modelVersion, m.orders, m.prefillPerToken, m.prefillWindow, m.refusals, m.tokensWaiting)
 	return m
 }
 
-// modelLoaded shows the version of a base model that the engine has loaded.
+// modelLoaded sets the version of a base model that the engine has loaded.
 func (m *metrics) modelLoaded(l sandbarrow.LoadedModel) {
 	m.modelVersion.WithLabelValues(string(l.Model)).Set(float64(l.Version))
 }
@@ -64,12 +64,12 @@
 	m.orders.WithLabelValues(operation, outcome).Inc()
 }
 
-// published shows what a status says of the engine's speed and queue, and the size of its
-// read window in tokens.
-func (m *metrics) published(s *enginelink.Status, readWindow int) {
-	m.readWindow.Set(float64(readWindow))
-	m.answerBase.Set(s.Speed.Base.Seconds())
-	m.readPerToken.Set(s.Speed.PerToken.Seconds())
+// published sets the engine's speed and queue from a status, and the size of its prefill
+// window in tokens.
+func (m *metrics) published(s *enginelink.Status, prefillWindow int) {
+	m.prefillWindow.Set(float64(prefillWindow))
+	m.responseBase.Set(s.Speed.Base.Seconds())
+	m.prefillPerToken.Set(s.Speed.PerToken.Seconds())
 	m.tokensWaiting.Set(float64(s.WaitingTokens))
 }
 
--- a/controller/nextorder.go
+++ b/controller/nextorder.go
@@ -9,18 +9,19 @@
 	"sandbarrow.example/sandbarrow/enginelink"
 )
 
-// maxLoading is how many adapters an engine loads at the same time. The load window
-// bounds them further while there is contention for the weight store.
+// maxLoading is the maximum number of adapters that an engine loads at the same time. The
+// load window lowers it further under contention for the weight store.
 const maxLoading = 4
 
-// nextOrder decides what the engine is ordered to do next: to load the adapter
-// whose waiting requests are worth most, to replace its older version, or to unload
-// an adapter that gives up its slot for it.
+// nextOrder decides the next order to the engine. It loads the adapter whose waiting
+// requests have the highest value, replaces its older version, or unloads another adapter
+// to free a slot for it.
 //
-// Inputs: the pending loads with their values, what the engine holds by its last
-// report and the orders since (15 ms old while loads are under way), and the pins. An
-// older version is replaced only after its last pin. pinsKnown says that no pin is
-// unreported; until then nothing is evicted or replaced, only free slots are used.
+// The decision depends on the pending loads with their values, the engine's last report
+// with the orders sent since (15 ms old while loads are in progress), and the pins. An
+// older version is replaced only after its last pin is released. pinsKnown reports that no
+// pin is unreported. Until then nothing is evicted or replaced, and only free slots are
+// used.
 func (s *slots) nextOrder(now time.Time, pinsKnown bool) (sandbarrow.EngineOrder, bool) {
 	for _, load := range s.byValue(now) {
 		sl := s.slots[load.key]
@@ -36,13 +37,14 @@
 	return sandbarrow.EngineOrder{}, false
 }
 
-// byValue lists the pending loads, the most valuable first and the oldest of equals.
+// byValue returns the pending loads by descending value. Equal values are ordered by age,
+// oldest first.
 func (s *slots) byValue(now time.Time) []*pendingLoad {
 	list := make([]*pendingLoad, 0, len(s.pending))
 	values := make(map[*pendingLoad]float64, len(s.pending))
-	for _, w := range s.pending {
-		list = append(list, w)
-		values[w] = w.value(now)
+	for _, load := range s.pending {
+		list = append(list, load)
+		values[load] = load.value(now)
 	}
 	slices.SortFunc(list, func(a, b *pendingLoad) int {
 		if c := cmp.Compare(values[b], values[a]); c != 0 {
@@ -53,31 +55,31 @@
 	return list
 }
 
-// loadOrEvict orders a load into a free slot, or frees one for it. Where as many
-// adapters as may be are loading, it waits; so it does where a slot must be freed
-// and the pins are not all known.
-func (s *slots) loadOrEvict(now time.Time, w *pendingLoad, pinsKnown bool) (sandbarrow.EngineOrder, bool) {
-	if !s.mayLoad(w) {
+// loadOrEvict orders a load into a free slot, or evicts an adapter to free one. It orders
+// nothing while the maximum number of loads is in progress. If a slot must be freed, it
+// also waits until all pins are known.
+func (s *slots) loadOrEvict(now time.Time, load *pendingLoad, pinsKnown bool) (sandbarrow.EngineOrder, bool) {
+	if !s.mayLoad(load) {
 		return sandbarrow.EngineOrder{}, false
 	}
 	if len(s.slots) < s.capacity {
-		return w.order(), true
+		return load.order(), true
 	}
 	if !pinsKnown {
 		return sandbarrow.EngineOrder{}, false
 	}
-	return s.evict(now, w)
+	return s.evict(now, load)
 }
 
-// mayLoad decides whether one more load may begin: an adapter that the engine's own
-// memory holds passes the window, since it does not use the weight store.
-func (s *slots) mayLoad(w *pendingLoad) bool {
-	return s.loading() < maxLoading && (s.memory.Has(w.key, w.version) || s.loadingFromStore() < s.window.size())
+// mayLoad decides whether one more load may start. An adapter in the engine's own memory is
+// exempt from the load window because loading it does not use the weight store.
+func (s *slots) mayLoad(load *pendingLoad) bool {
+	return s.loading() < maxLoading && (s.recallMemory.Has(load.key, load.version) || s.loadingFromStore() < s.window.size())
 }
 
-// evict decides which adapter gives up its slot: the evictor chooses among those
-// that nobody has pinned or waits for, by their demand and last use.
-func (s *slots) evict(now time.Time, w *pendingLoad) (sandbarrow.EngineOrder, bool) {
+// evict decides which adapter to unload. The evictor chooses by demand and last use among
+// the adapters without pins and waiting requests.
+func (s *slots) evict(now time.Time, load *pendingLoad) (sandbarrow.EngineOrder, bool) {
 	var idle []sandbarrow.SlotView
 	var keys []sandbarrow.AdapterKey
 	for key, sl := range s.slots {
@@ -90,15 +92,15 @@
 		})
 		keys = append(keys, key)
 	}
-	wanted := sandbarrow.SlotView{Demand: s.demandRate(now, w.key), LastUsed: now, Model: sandbarrow.ModelRef{Adapter: w.key.Adapter}}
-	victim, ok := s.evictor.Evict(now, wanted, idle)
+	incoming := sandbarrow.SlotView{Demand: s.demandRate(now, load.key), LastUsed: now, Model: sandbarrow.ModelRef{Adapter: load.key.Adapter}}
+	victim, ok := s.evictor.Evict(now, incoming, idle)
 	if !ok {
 		return sandbarrow.EngineOrder{}, false
 	}
 	return sandbarrow.EngineOrder{Adapter: keys[victim].Adapter, Model: keys[victim].Model}, true
 }
 
-// loading counts the adapters that are being loaded, replaced or unloaded.
+// loading returns the number of adapters that are being loaded, replaced or unloaded.
 func (s *slots) loading() int {
 	n := 0
 	for _, sl := range s.slots {
@@ -109,7 +111,8 @@
 	return n
 }
 
-// loadingFromStore counts the adapters that are being loaded from the weight store.
+// loadingFromStore returns the number of adapters that are being loaded from the weight
+// store.
 func (s *slots) loadingFromStore() int {
 	n := 0
 	for _, sl := range s.slots {
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// orderTimeout bounds one order. The engine is on the same box and answers within
-	// milliseconds; an order without answer holds up those behind it, and the next
-	// report shows what became of it.
+	// orderTimeout bounds one order. The engine is on the same box and responds within
+	// milliseconds. An order without a response delays those behind it, and the next report
+	// shows whether it was carried out.
 	orderTimeout = 80 * time.Millisecond
-	// conflictPause follows a failed order: the report after it shows what stands.
+	// conflictPause follows a failed order. The next report then shows the engine's actual
+	// state.
 	conflictPause = 20 * time.Millisecond
-	// identifyPause follows a failed look at which instance answers.
+	// identifyPause follows a failed request for the engine's identity.
 	identifyPause = 500 * time.Millisecond
 )
 
-// identify learns which instance answers, so that no order, however late, is
-// carried out by the next one.
+// identify queries the engine's instance ID. Orders name it, which prevents a late order
+// from being carried out by the next instance.
 func (c *Controller) identify(ctx context.Context) bool {
 	service := c.ownService()
 	c.mu.Lock()
@@ -43,29 +44,28 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if id != c.named {
-		c.named = id
-		c.late.renamed()
+	if id != c.lastListedID {
+		c.lastListedID = id
+		c.late.instanceIDChanged()
 	}
 	c.instance = sandbarrow.NewInstanceID(id, c.reported.Started)
 	c.logger.Info("engine identified", "instance", string(c.instance))
 	return true
 }
 
-// noteLateLoad notes an order that may yet load an adapter though it got no answer.
-func (c *Controller) noteLateLoad(o *sandbarrow.EngineOrder, err error) {
+// recordLateLoad records a load order without a response that may still be carried out.
+func (c *Controller) recordLateLoad(o *sandbarrow.EngineOrder, err error) {
 	if !errors.Is(err, sandbarrow.ErrOrderUnknown) || !o.Load || o.Adapter == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.late.sent(c.now(), o.Expected)
+	c.late.add(c.now(), o.Expected)
 }
 
-// giveOrders gives orders until none is due, and returns when to read the next
-// report.
-func (c *Controller) giveOrders(ctx context.Context, sequence uint64) time.Duration {
-	if !c.wantsOrder() {
+// sendOrders sends orders until none is due, and returns the pause before the next report.
+func (c *Controller) sendOrders(ctx context.Context, sequence uint64) time.Duration {
+	if !c.mayNeedOrder() {
 		return idlePoll
 	}
 	if !c.identify(ctx) {
@@ -79,7 +79,7 @@
 		done, err := c.order(ctx, &o)
 		if err != nil {
 			c.logOrder(&o, "failed", err)
-			c.noteLateLoad(&o, err)
+			c.recordLateLoad(&o, err)
 			return c.afterFailedOrder(ctx, err)
 		}
 		c.logOrder(&o, "taken", nil)
@@ -119,10 +119,11 @@
 	return c.control.Order(ctx, *o)
 }
 
-// afterFailedOrder decides what follows a failed order, and when to look again. An
-// order without answer is not retried blindly: the next report shows whether the
-// sequence has moved, and any later order moves it, so that a late one no longer
-// fits. A fenced one needs a newer token, a misdirected one another instance.
+// afterFailedOrder handles a failed order and returns the pause before the next report. An
+// order without a response is not retried blindly. The next report shows whether the
+// sequence has advanced. Any later order advances it, and a late order then no longer
+// matches. A fenced order needs a newer token, and a misdirected one needs the engine to be
+// identified again.
 func (c *Controller) afterFailedOrder(ctx context.Context, err error) time.Duration {
 	var backoff *sandbarrow.BackoffError
 	switch {
@@ -138,8 +139,8 @@
 	return conflictPause
 }
 
-// backOff gives the engine no orders for a time. What would need one is refused, since another
-// engine may serve it now.
+// backOff stops orders to the engine for a time. Requests that would need an order are
+// refused, because another engine may be able to serve them now.
 func (c *Controller) backOff(wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,10 +152,10 @@
 	c.logger.Info("engine wants no orders", "backoff_ms", wait.Milliseconds())
 }
 
-// nextOrder decides the next order, if there is one and it may be given: not to an
-// engine that drains or wants none, and not before the first fencing token and the operators'
-// state are known. It names the sequence and the instance that must stand, so that a
-// late order is carried out by nobody.
+// nextOrder returns the next order, if one is due and allowed. No orders are sent to an
+// engine that is draining or in backoff, or before the first fencing token and the
+// operators' state are known. An order names the expected sequence and instance, so the
+// engine refuses it if it arrives late. lateLoads covers the loads that are still possible.
 func (c *Controller) nextOrder(sequence uint64) (sandbarrow.EngineOrder, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,12 +172,12 @@
 		if c.reported.Busy || len(service.Engine.Models) == 0 {
 			return o, false
 		}
-		// The engine came up empty: the base model comes first.
+		// The engine started without a base model, which must be loaded first.
 		o, ok = sandbarrow.EngineOrder{Load: true, Model: service.Engine.Models[0].ID}, true
 	} else {
 		now := c.now()
-		c.noteRuns(now)
-		o, ok = c.slots.nextOrder(now, !c.unreported.possible(now))
+		c.checkSuspension(now)
+		o, ok = c.slots.nextOrder(now, !c.unreported.mayExist(now))
 	}
 	if o.Load && o.Adapter != "" {
 		o.Version = max(o.Version, c.estate.View().LeastVersion(sandbarrow.AdapterKey{Adapter: o.Adapter, Model: o.Model}))
@@ -185,8 +186,8 @@
 	return o, ok
 }
 
-// wantsOrder reports whether there may be an order to give.
-func (c *Controller) wantsOrder() bool {
+// mayNeedOrder reports whether an order may be due.
+func (c *Controller) mayNeedOrder() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.reported.Draining && !c.now().Before(c.backoffUntil) && (len(c.reported.Models) == 0 || len(c.slots.pending) > 0)
--- a/controller/pendingload.go
+++ b/controller/pendingload.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// priorityStep is how much less each lower priority counts in the queue.
-	priorityStep = 0.4
-	// lateWorth is the share that a late answer counts.
-	lateWorth = 0.3
+	// priorityDiscount reduces the weight of a request for each lower priority.
+	priorityDiscount = 0.4
+	// lateWeight is the weight of a request whose response would be late.
+	lateWeight = 0.3
 )
 
-// pin is one request's right to an adapter, which is not unloaded until the pin
-// ends. It is guarded by the controller's mu.
+// pin is one request's claim on an adapter. The adapter is not unloaded until the pin is
+// released. It is guarded by the controller's mu.
 type pin struct {
-	// begun says that the answer has begun, so that the prompt has been read.
-	begun bool
-	// granted says that the pin holds; before it waits.
+	// responseStarted reports that the response has started, which means that the prompt
+	// was prefilled.
+	responseStarted bool
+	// granted reports that the pin is granted. Until then it waits.
 	granted bool
-	// grantedAt is when it was granted here; zero where a gateway reported the pin.
+	// grantedAt is when the pin was granted here; zero if a gateway reported the pin.
 	grantedAt time.Time
 	key       sandbarrow.AdapterKey
-	// priority is that of the request's route, 0 for the most urgent.
+	// priority is the priority of the request's route, 0 for the most urgent.
 	priority int
-	// readBefore is how many prompt tokens the engine had read at grantedAt.
-	readBefore int
-	// stretches are those of the prompt.
-	stretches []promptcache.Stretch
-	// tokens is the length of the prompt, unread the part of it that the engine did not
-	// keep at the grant.
-	tokens, unread int
-	// weights are the versions with which the engine runs the request, known at the grant.
+	// prefilledAtGrant is the number of prompt tokens that the engine had prefilled at
+	// grantedAt.
+	prefilledAtGrant int
+	// promptPrefixes are the prefixes of the request's prompt.
+	promptPrefixes []promptcache.Stretch
+	// tokens is the length of the prompt, and toPrefill the part that the engine had not
+	// cached at the grant.
+	tokens, toPrefill int
+	// weights are the versions that serve the request, known from the grant on.
 	weights sandbarrow.WeightsVersion
 }
 
-// pendingRequest is one request that waits for its adapter. Its channel holds one
+// pendingRequest is a request that waits for its adapter. Its channel is buffered for one
 // grant.
 type pendingRequest struct {
 	grant    chan enginelink.Grant
 	priority int
-	// usefulUntil is until when a grant still lets the answer be in time.
+	// usefulUntil is the last time at which a grant still lets the response be on time.
 	usefulUntil time.Time
 	pin         *pin
 }
 
-// pendingLoad is an adapter that requests wait for.
+// pendingLoad is an adapter that requests are waiting for.
 type pendingLoad struct {
 	key      sandbarrow.AdapterKey
 	since    time.Time
@@ -56,26 +58,26 @@
 	requests []*pendingRequest
 }
 
-// value decides how much a load for these requests brings now; the queue loads the
-// most valuable first.
+// value decides how much a load for these requests is worth now. The most valuable load
+// goes first.
 //
-// Inputs: the priority of each waiting request, 0 for the most urgent, and until
-// when a grant lets its answer be in time. Urgent requests count more, and those
-// that can't be in time any more count less, so that an overload does not make all
-// of them late.
+// The decision depends on the priority of each waiting request, 0 for the most urgent, and
+// on the last time at which a grant lets its response be on time. Urgent requests count
+// more. Requests that can no longer be on time count less, so that an overload does not
+// make all of them late.
 func (w *pendingLoad) value(now time.Time) float64 {
 	var sum float64
-	for _, one := range w.requests {
-		worth := 1 / (1 + priorityStep*float64(one.priority))
-		if now.After(one.usefulUntil) {
-			worth *= lateWorth
+	for _, r := range w.requests {
+		weight := 1 / (1 + priorityDiscount*float64(r.priority))
+		if now.After(r.usefulUntil) {
+			weight *= lateWeight
 		}
-		sum += worth
+		sum += weight
 	}
 	return sum
 }
 
-// order is the order to load the adapter.
+// order returns the order to load the adapter.
 func (w *pendingLoad) order() sandbarrow.EngineOrder {
 	return sandbarrow.EngineOrder{Adapter: w.key.Adapter, Load: true, Model: w.key.Model, Version: w.version}
 }
--- a/controller/publisher.go
+++ b/controller/publisher.go
@@ -13,89 +13,90 @@
 )
 
 const (
-	// publishPause is the shortest time between two statuses: short against
+	// publishPause is the shortest interval between two statuses. It is short compared with
 	// a load (270 ms).
 	publishPause = 50 * time.Millisecond
-	// publishShare is what each linked gateway adds to that time beyond ten gateways,
-	// so that the statuses that a controller sends in a second are bounded.
-	publishShare = 5 * time.Millisecond
+	// publishPerGateway is the interval per linked gateway, which applies beyond ten
+	// gateways. It bounds the number of statuses that a controller sends per second.
+	publishPerGateway = 5 * time.Millisecond
 )
 
-// publisher keeps the status in the forms in which all links send it. It is
-// guarded by the controller's mu.
+// publisher holds the status in the encodings that the links send. It is guarded by the
+// controller's mu.
 type publisher struct {
-	at time.Time
-	// before is the last status with another number of holds.
-	before enginelink.Status
-	// brief leaves out what the engine holds; links that have it get this one.
+	publishedAt time.Time
+	// previous is the last status with another content version.
+	previous enginelink.Status
+	// brief omits the engine's contents. It is sent to links that already have them.
 	brief wire.Notification
-	// changed holds one signal that the status may differ from the last.
+	// changed holds one signal that the status may differ from the last one.
 	changed chan struct{}
-	// full and since are nil until a link needs them; since is what has changed after before.
-	full, since wire.Notification
-	// holds counts the changes of what the engine holds, from 1.
-	holds uint64
-	last  enginelink.Status
+	// full and changes are nil until a link needs them. changes holds the difference from
+	// previous.
+	full, changes wire.Notification
+	// contentVersion counts the changes of the engine's contents, from 1.
+	contentVersion uint64
+	last           enginelink.Status
 }
 
 func newPublisher() *publisher {
 	return &publisher{changed: make(chan struct{}, 1)}
 }
 
-// announce makes the controller publish its status soon.
-func (p *publisher) announce() {
+// markChanged makes the controller publish its status soon.
+func (p *publisher) markChanged() {
 	select {
 	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
-// apply replaces the status and reports whether the links are to send it: because it
-// differs from the last, or because a heartbeat is due.
+// apply replaces the status and reports whether the links must send it. They must if it
+// differs from the last one or a heartbeat is due.
 func (p *publisher) apply(now time.Time, s enginelink.Status) bool {
-	if p.holds > 0 && now.Sub(p.at) < enginelink.Heartbeat-publishPause && reflect.DeepEqual(s, p.last) {
+	if p.contentVersion > 0 && now.Sub(p.publishedAt) < enginelink.Heartbeat-publishPause && reflect.DeepEqual(s, p.last) {
 		return false
 	}
-	if p.holds == 0 || !slices.Equal(s.Slots, p.last.Slots) || !s.SameModels(&p.last) || s.Speed != p.last.Speed || s.Loads != p.last.Loads {
-		p.holds++
-		p.before = p.last
+	if p.contentVersion == 0 || !slices.Equal(s.Slots, p.last.Slots) || !s.SameModels(&p.last) || s.Speed != p.last.Speed || s.Loads != p.last.Loads {
+		p.contentVersion++
+		p.previous = p.last
 	}
-	p.at, p.last = now, s
-	p.brief, p.full, p.since = encodeStatus(s.Brief()), nil, nil
+	p.publishedAt, p.last = now, s
+	p.brief, p.full, p.changes = encodeStatus(s.Brief()), nil, nil
 	return true
 }
 
-// message returns the status for a link that has so many changes of what the engine
-// holds, and the number that it has with it; nil before the first status. readsChanges
-// says that its gateway can put changes together with its last status: an engine under
-// load changes its slots with almost each status
-// (TestPublisherSendsChanges).
-func (p *publisher) message(sent uint64, readsChanges bool) (wire.Notification, uint64) {
+// message returns the status for a link that has received the content version sent, and the
+// content version that the link has after it. It returns nil before the first status.
+// acceptsChanges reports that the gateway can apply changes to its last status. An engine
+// under load changes its slots with almost every status, and changes are shorter than a
+// full status (TestPublisherSendsChanges).
+func (p *publisher) message(sent uint64, acceptsChanges bool) (wire.Notification, uint64) {
 	switch {
-	case sent == p.holds:
+	case sent == p.contentVersion:
 		return p.brief, sent
-	case sent > 0 && sent+1 == p.holds && readsChanges && p.encodeChanges():
-		return p.since, p.holds
+	case sent > 0 && sent+1 == p.contentVersion && acceptsChanges && p.encodeChanges():
+		return p.changes, p.contentVersion
 	case p.full == nil:
 		p.full = encodeStatus(p.last.Full())
 	}
-	return p.full, p.holds
+	return p.full, p.contentVersion
 }
 
-// encodeChanges encodes what has changed since the status before, and reports whether
-// that is enough.
+// encodeChanges encodes the changes since the previous status, and reports whether they can
+// replace a full status.
 func (p *publisher) encodeChanges() bool {
-	if p.since != nil {
+	if p.changes != nil {
 		return true
 	}
-	s, ok := p.last.Since(&p.before)
+	s, ok := p.last.Since(&p.previous)
 	if ok {
-		p.since = encodeStatus(s)
+		p.changes = encodeStatus(s)
 	}
 	return ok
 }
 
-// encodeStatus encodes a status, which holds nothing that can't be encoded.
+// encodeStatus encodes a status, which always has a valid JSON encoding.
 func encodeStatus(s enginelink.Status) wire.Notification {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -104,15 +105,15 @@
 	return wire.NewNotification(enginelink.MethodStatus, text)
 }
 
-// publishEvery is the shortest time between two statuses for so many gateways. However
-// many there are, a heartbeat comes in time: at 300 gateways statuses that are spread
-// without a bound would come as late as a link counts as lost.
-func publishEvery(gateways int) time.Duration {
-	return min(enginelink.Heartbeat, max(publishPause, time.Duration(gateways)*publishShare))
+// publishInterval returns the shortest interval between two statuses for a number of
+// gateways. It never exceeds the heartbeat interval. Without that bound, the interval for
+// 300 gateways would be as long as the timeout after which a link counts as lost.
+func publishInterval(gateways int) time.Duration {
+	return min(enginelink.Heartbeat, max(publishPause, time.Duration(gateways)*publishPerGateway))
 }
 
-// publishLoop encodes the status when it may have changed, and at each
-// heartbeat, so that gateways see that this process lives.
+// publishLoop publishes the status when it may have changed and at each heartbeat, which
+// shows gateways that this process is running.
 func (c *Controller) publishLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, c.publishNow())
@@ -125,17 +126,17 @@
 	return nil
 }
 
-// publishNow gives the links a status that is due, and returns how long no
-// other is to follow.
+// publishNow makes the links send the status if one is due, and returns the pause before
+// the next one.
 func (c *Controller) publishNow() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	status := c.status()
 	if c.published.apply(c.now(), status) {
-		c.metrics.published(&status, c.slots.toRead.window.size())
+		c.metrics.published(&status, c.slots.awaitingPrefill.window.size())
 		for l := range c.links {
 			l.notifyStatus()
 		}
 	}
-	return publishEvery(len(c.links))
+	return publishInterval(len(c.links))
 }
--- a/controller/reconcile.go
+++ b/controller/reconcile.go
@@ -8,47 +8,48 @@
 	"sandbarrow.example/sandbarrow/enginelink"
 )
 
-// reconcile brings the slots in line with what the engine reports: what it has
-// loaded and what it loads. The report has the last word over what was ordered.
+// reconcile updates the slots from the engine's report of loaded and loading adapters. The
+// report takes precedence over the orders sent.
 func (s *slots) reconcile(now time.Time, models []sandbarrow.LoadedModel, loading []sandbarrow.LoadingAdapter) {
-	held := map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion{}
+	reported := map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion{}
 	s.applyModels(models)
 	for _, m := range models {
 		for _, a := range m.Adapters {
 			key := sandbarrow.AdapterKey{Adapter: a.Adapter, Model: m.Model}
-			held[key] = a.Version
+			reported[key] = a.Version
 			s.markLoaded(now, key, a.Version)
 		}
 	}
 	for _, l := range loading {
-		if _, replaces := held[l.Key]; replaces {
+		if _, replaces := reported[l.Key]; replaces {
 			s.slots[l.Key].state = enginelink.SlotReplacing
 			continue
 		}
-		held[l.Key] = l.Version
+		reported[l.Key] = l.Version
 		s.slots[l.Key] = s.slotOf(l.Key)
 		s.slots[l.Key].state = enginelink.SlotLoading
 		s.slots[l.Key].version = l.Version
 	}
 	for key := range s.slots {
-		if _, ok := held[key]; !ok {
+		if _, ok := reported[key]; !ok {
 			s.remove(key)
 		}
 	}
 	if len(models) == 0 {
-		s.memory.Forget()
+		s.recallMemory.Forget()
 	}
-	s.memory.MarkLoaded(maps.All(held))
+	s.recallMemory.MarkLoaded(maps.All(reported))
 }
 
-// applyModels keeps which versions of base models the engine holds. Where one has changed,
-// what the engine kept was made with other weights, or by an earlier start.
+// applyModels records the versions of the engine's base models. If one has changed, the
+// cached prompts belong to other weights or to an earlier start, so the prompt cache is
+// cleared.
 func (s *slots) applyModels(models []sandbarrow.LoadedModel) {
 	now := make(map[sandbarrow.BaseModelID]sandbarrow.ModelVersion, len(models))
 	for _, m := range models {
 		now[m.Model] = m.Version
 		if before, ok := s.models[m.Model]; ok && before != m.Version {
-			s.kept.Clear()
+			s.cached.Clear()
 		}
 	}
 	s.models = now
@@ -62,8 +63,8 @@
 	return &slot{key: key}
 }
 
-// markLoaded keeps that the engine holds a version of an adapter. Where its load
-// was ordered here, the time that it took is measured.
+// markLoaded records that the engine has loaded a version of an adapter. If the load was
+// ordered here, its duration is recorded.
 func (s *slots) markLoaded(now time.Time, key sandbarrow.AdapterKey, v sandbarrow.AdapterVersion) {
 	sl := s.slotOf(key)
 	if sl.state != enginelink.SlotLoaded {
@@ -74,30 +75,32 @@
 		sl.lastUsed = now
 	}
 	if sl.version != v {
-		s.kept.Drop(key) // it was made with the older version
+		s.cached.Drop(key) // cached for the older version
 	}
 	sl.version = v
 	s.slots[key] = sl
 }
 
-// recallMost is the longest time in which the engine's own memory gives an adapter back:
-// 0.03 s with the order on the deployments seen, where the weight store takes 0.26 s.
-const recallMost = 100 * time.Millisecond
+// maxRecallTime is the longest recall from the engine's own memory. On the deployments
+// seen, a recall takes 0.03 s including the order, and a load from the weight store takes
+// 0.26 s.
+const maxRecallTime = 100 * time.Millisecond
 
-// countLoad counts a load that has ended. One that was far too fast for the weight store
-// came from the engine's own memory, though it was not expected there: in the window it
-// would make all others look slow, so that one load at a time is left.
+// countLoad records a finished load. A load that was far too fast for the weight store came
+// from the engine's own memory even if it was not expected there. Counted in the load
+// window, it would make all other loads look slow and shrink the window to one load at a
+// time.
 func (s *slots) countLoad(sl *slot, took time.Duration) {
-	s.loadTook(sl.key, took)
-	recalled := took < recallMost
-	s.memory.Learn(sl.recalled, recalled)
+	s.observeLoad(sl.key, took)
+	recalled := took < maxRecallTime
+	s.recallMemory.Learn(sl.recalled, recalled)
 	if !sl.recalled && !recalled {
 		s.window.took(took)
 	}
 }
 
-// applyOrder keeps that the engine has accepted an order; done says that it is
-// carried out already. An adapter that is still to be unloaded keeps its slot until
+// applyOrder records an order that the engine has accepted. done reports that it has
+// already been carried out. An adapter that is still to be unloaded keeps its slot until
 // the engine no longer reports it.
 func (s *slots) applyOrder(now time.Time, o *sandbarrow.EngineOrder, done bool) {
 	key := sandbarrow.AdapterKey{Adapter: o.Adapter, Model: o.Model}
@@ -111,7 +114,7 @@
 		sl.state = enginelink.SlotReplacing
 	default:
 		s.slots[key] = &slot{
-			key: key, lastUsed: now, orderedAt: now, recalled: s.memory.Has(key, o.Version), state: enginelink.SlotLoading, version: o.Version,
+			key: key, lastUsed: now, orderedAt: now, recalled: s.recallMemory.Has(key, o.Version), state: enginelink.SlotLoading, version: o.Version,
 		}
 	}
 }
--- a/controller/slot.go
+++ b/controller/slot.go
@@ -12,9 +12,9 @@
 	key      sandbarrow.AdapterKey
 	lastUsed time.Time
 	loaded   time.Time
-	// orderedAt is when the load was ordered; zero where it was not seen.
+	// orderedAt is when the load was ordered; zero if the order is not known here.
 	orderedAt time.Time
-	// recalled says that the engine's own memory had the adapter.
+	// recalled reports whether the load was expected to come from the engine's own memory.
 	recalled bool
 	state    enginelink.SlotState
 	version  sandbarrow.AdapterVersion
--- a/controller/slots.go
+++ b/controller/slots.go
@@ -11,49 +11,49 @@
 	"sandbarrow.example/sandbarrow/recall"
 )
 
-// slots is the state of an engine's slots, of the pins on its adapters and of what
-// waits for a slot. It is not safe for concurrent use: the controller's mu guards
-// it. This file keeps pins and the queue; reconcile.go follows the engine's reports,
-// nextorder.go chooses what is loaded and evicted, demand.go counts requests.
+// slots is the state of an engine's slots, the pins on its adapters and the requests that
+// wait for a slot. It is not safe for concurrent use; the controller's mu guards it. This
+// file maintains the pins and the queue. The engine's reports are applied in reconcile.go,
+// loads and evictions are chosen in nextorder.go, and requests are counted in demand.go.
 type slots struct {
-	// capacity is the number of slots; 0 while it is not known.
+	// capacity is the number of slots; 0 while it is unknown.
 	capacity int
-	// demands counts the requests for each adapter, decayed.
+	// demands holds the decayed number of requests for each adapter.
 	demands map[sandbarrow.AdapterKey]*decay.Count
 	evictor sandbarrow.Evictor
-	// kept is what the engine's memory should keep of the prompts it has read.
-	kept promptcache.Memory
-	// loadTook is called with the time of each load.
-	loadTook func(sandbarrow.AdapterKey, time.Duration)
-	// memory is what the engine's own memory should hold.
-	memory recall.Memory
-	// models has the versions of the base models that the engine holds.
+	// cached predicts which prompt prefixes the engine has cached.
+	cached promptcache.Memory
+	// observeLoad is called with the duration of each load.
+	observeLoad func(sandbarrow.AdapterKey, time.Duration)
+	// recallMemory predicts which adapters are in the engine's own memory.
+	recallMemory recall.Memory
+	// models holds the versions of the base models that the engine has loaded.
 	models map[sandbarrow.BaseModelID]sandbarrow.ModelVersion
 	slots  map[sandbarrow.AdapterKey]*slot
 	// pins counts the granted pins of each adapter.
 	pins map[sandbarrow.AdapterKey]int
-	// toRead are the requests whose adapter is pinned and whose prompt the engine may not
-	// read yet.
-	toRead readQueue
-	// reading follows what the engine has yet to read of the prompts of granted pins.
-	reading reading
-	pending map[sandbarrow.AdapterKey]*pendingLoad
-	window  *loadWindow
+	// awaitingPrefill holds the requests whose adapter is pinned and whose prefill may not
+	// start yet.
+	awaitingPrefill prefillQueue
+	// prefills tracks the granted pins whose prompts the engine has not finished prefilling.
+	prefills prefills
+	pending  map[sandbarrow.AdapterKey]*pendingLoad
+	window   *loadWindow
 }
 
 func newSlots(e sandbarrow.Evictor) *slots {
 	return &slots{
-		demands:  map[sandbarrow.AdapterKey]*decay.Count{},
-		evictor:  e,
-		loadTook: func(sandbarrow.AdapterKey, time.Duration) {},
-		slots:    map[sandbarrow.AdapterKey]*slot{},
-		pins:     map[sandbarrow.AdapterKey]int{},
-		pending:  map[sandbarrow.AdapterKey]*pendingLoad{},
-		window:   newLoadWindow(),
+		demands:     map[sandbarrow.AdapterKey]*decay.Count{},
+		evictor:     e,
+		observeLoad: func(sandbarrow.AdapterKey, time.Duration) {},
+		slots:       map[sandbarrow.AdapterKey]*slot{},
+		pins:        map[sandbarrow.AdapterKey]int{},
+		pending:     map[sandbarrow.AdapterKey]*pendingLoad{},
+		window:      newLoadWindow(),
 	}
 }
 
-// acquire grants a pin at once, or queues it until grantLoaded.
+// acquire grants a pin immediately, or queues it until grantLoaded.
 func (s *slots) acquire(now time.Time, q *enginelink.Acquire, p *pin) *pendingRequest {
 	w := &pendingRequest{
 		grant: make(chan enginelink.Grant, 1), priority: q.Priority, pin: p,
@@ -78,9 +78,9 @@
 	return w
 }
 
-// cancel takes a request that waits out of the queue.
+// cancel removes a waiting request from the queue.
 func (s *slots) cancel(now time.Time, w *pendingRequest) {
-	if s.toRead.remove(w) {
+	if s.awaitingPrefill.remove(w) {
 		s.unpin(now, w.pin)
 		return
 	}
@@ -94,30 +94,30 @@
 	}
 }
 
-// grant pins the adapter of a request that waited for it, or need not wait, and tells the
-// gateway as soon as the engine may read the prompt.
+// grant pins the adapter of a request. The gateway gets the grant as soon as the engine may
+// prefill the prompt.
 func (s *slots) grant(now time.Time, v sandbarrow.AdapterVersion, w *pendingRequest) {
-	s.hold(now, w.pin)
+	s.countPin(now, w.pin)
 	w.pin.weights = sandbarrow.WeightsVersion{Adapter: v, Model: s.models[w.pin.key.Model]}
-	w.pin.unread = s.unreadOf(w.pin)
-	s.toRead.add(now, w, v)
+	w.pin.toPrefill = s.uncachedTokens(w.pin)
+	s.awaitingPrefill.add(now, w, v)
 	s.admitPrompts(now)
 }
 
-// admitPrompts tells the gateways of those requests whose prompts the engine may read
-// now, the most urgent first.
+// admitPrompts sends the grants of the requests whose prefill may start now, the most
+// urgent first.
 func (s *slots) admitPrompts(now time.Time) {
 	for {
-		w, v := s.toRead.next(now, s.reading.tokens(now))
+		w, v := s.awaitingPrefill.next(now, s.prefills.pendingTokens(now))
 		if w == nil {
 			return
 		}
-		s.startReading(now, w.pin)
+		s.startPrefill(now, w.pin)
 		w.grant <- enginelink.Grant{ModelVersion: w.pin.weights.Model, Version: v}
 	}
 }
 
-// grantLoaded grants what waits for adapters that are loaded now.
+// grantLoaded grants the requests whose adapters are loaded now.
 func (s *slots) grantLoaded(now time.Time) {
 	for key, load := range s.pending {
 		sl := s.slots[key]
@@ -131,17 +131,17 @@
 	}
 }
 
-// pin counts a granted pin whose request goes to the engine at once, whether the engine
-// has reported its adapter yet or not.
+// pin counts a granted pin whose request is sent to the engine immediately. The engine may
+// not have reported its adapter yet.
 func (s *slots) pin(now time.Time, p *pin) {
-	s.hold(now, p)
-	if !p.begun {
-		s.startReading(now, p)
+	s.countPin(now, p)
+	if !p.responseStarted {
+		s.startPrefill(now, p)
 	}
 }
 
-// hold counts a granted pin.
-func (s *slots) hold(now time.Time, p *pin) {
+// countPin counts a granted pin.
+func (s *slots) countPin(now time.Time, p *pin) {
 	p.granted = true
 	s.pins[p.key]++
 	if sl := s.slots[p.key]; sl != nil {
@@ -149,38 +149,38 @@
 	}
 }
 
-// startReading notes that the engine is about to get a request.
-func (s *slots) startReading(now time.Time, p *pin) {
-	p.unread = s.unreadOf(p)
-	s.reading.granted(now, p)
-	s.toRead.window.began(now, s.reading.tokens(now))
+// startPrefill records that the engine is about to receive a request.
+func (s *slots) startPrefill(now time.Time, p *pin) {
+	p.toPrefill = s.uncachedTokens(p)
+	s.prefills.add(now, p)
+	s.awaitingPrefill.window.prefillStarted(now, s.prefills.pendingTokens(now))
 }
 
-// unreadOf is the part of a prompt that the engine does not keep.
-func (s *slots) unreadOf(p *pin) int {
-	return max(0, p.tokens-s.kept.Kept(p.weights, p.stretches))
+// uncachedTokens returns the number of prompt tokens that the engine has not cached.
+func (s *slots) uncachedTokens(p *pin) int {
+	return max(0, p.tokens-s.cached.Kept(p.weights, p.promptPrefixes))
 }
 
-// done ends the pin of a request that has ended.
-func (s *slots) done(now time.Time, p *pin) {
-	s.toRead.window.ended()
+// requestDone releases the pin of a finished request.
+func (s *slots) requestDone(now time.Time, p *pin) {
+	s.awaitingPrefill.window.requestEnded()
 	s.unpin(now, p)
 }
 
-// paused notes that a stream has paused for longer than its route allows. It returns the
-// size of the read window, and whether that closed it.
-func (s *slots) paused(now time.Time) (int, bool) {
-	closed := s.toRead.window.paused(now)
-	return s.toRead.window.size(), closed
+// streamPaused records that a stream paused for longer than its route allows. It returns
+// the size of the prefill window, and whether the pause reduced it.
+func (s *slots) streamPaused(now time.Time) (int, bool) {
+	closed := s.awaitingPrefill.window.streamPaused(now)
+	return s.awaitingPrefill.window.size(), closed
 }
 
-// unpin ends a granted pin; one that was not granted is left alone.
+// unpin releases a granted pin. It ignores a pin that was not granted.
 func (s *slots) unpin(now time.Time, p *pin) {
 	if !p.granted {
 		return
 	}
 	p.granted = false
-	s.reading.forget(p)
+	s.prefills.remove(p)
 	s.pins[p.key]--
 	if s.pins[p.key] <= 0 {
 		delete(s.pins, p.key)
@@ -191,36 +191,36 @@
 	s.admitPrompts(now)
 }
 
-// begun notes that the answer to a pinned request has begun, so that the engine has
-// read its prompt and keeps it, for the weights with which it runs: they may be newer than
-// those that the request asked for.
-func (s *slots) begun(now time.Time, p *pin) {
-	if s.reading.begun(now, p) {
-		s.kept.Use(p.key, p.weights, p.stretches)
+// responseStarted records that the response to a pinned request has started. By then the
+// engine has prefilled the prompt and cached it for the weights that serve the request.
+// Those weights may be newer than the requested ones.
+func (s *slots) responseStarted(now time.Time, p *pin) {
+	if s.prefills.responseStarted(now, p) {
+		s.cached.Use(p.key, p.weights, p.promptPrefixes)
 		s.admitPrompts(now)
 	}
 }
 
-// remove takes an adapter out of its slot. The engine discards with it what it kept
-// of the adapter's prompts.
+// remove removes an adapter from its slot. The engine discards the adapter's cached prompts
+// with it.
 func (s *slots) remove(key sandbarrow.AdapterKey) {
 	delete(s.slots, key)
-	s.kept.Drop(key)
+	s.cached.Drop(key)
 }
 
-// restarted ends what belongs to the engine's last start. The requests that wait name that
-// start: the engine would refuse them after a load for nothing, and each would take a
-// retry. What has been read for them is gone, also where a report of it is still on its
-// way.
-func (s *slots) restarted(now time.Time) {
-	s.reading.unread = nil
+// engineRestarted discards the state of the engine's previous start. The waiting requests
+// name that start. The engine would load their adapters, refuse the requests, and cost each
+// of them a retry. The prompts prefilled for them are lost too, even if a report about them
+// is still in transit.
+func (s *slots) engineRestarted(now time.Time) {
+	s.prefills.toPrefill = nil
 	s.refuseAll(now, enginelink.RefuseInstance)
-	s.kept.Clear()
+	s.cached.Clear()
 }
 
-// refuseAll refuses all that wait.
+// refuseAll refuses all waiting requests.
 func (s *slots) refuseAll(now time.Time, reason enginelink.RefuseReason) {
-	for _, w := range s.toRead.removeAll() {
+	for _, w := range s.awaitingPrefill.removeAll() {
 		w.grant <- enginelink.Grant{Refused: reason}
 		s.unpin(now, w.pin)
 	}
@@ -232,14 +232,14 @@
 	}
 }
 
-// needsOrder reports whether the engine must be ordered to load an adapter of a version.
+// needsOrder reports whether the engine must be ordered to load this version of an adapter.
 func (s *slots) needsOrder(key sandbarrow.AdapterKey, v sandbarrow.AdapterVersion) bool {
 	sl := s.slots[key]
 	return key.Adapter != "" && !sl.usable(v) && (sl == nil || sl.state != enginelink.SlotLoading)
 }
 
-// refuseUnordered refuses the requests that wait for an adapter which the engine was not ordered
-// to load.
+// refuseUnordered refuses the requests whose adapter the engine has not been ordered to
+// load.
 func (s *slots) refuseUnordered(reason enginelink.RefuseReason) {
 	for key, load := range s.pending {
 		if !s.needsOrder(key, load.version) {
@@ -252,11 +252,11 @@
 	}
 }
 
-// waiting counts the prompts that the engine has yet to read: those granted whose
-// answer has not begun, and those that wait for their adapter.
+// waiting counts the prompts that the engine has yet to prefill. These are the granted ones
+// whose response has not started, and those that wait for their adapter.
 func (s *slots) waiting() enginelink.Waiting {
-	waiting := s.reading.waiting()
-	s.toRead.count(&waiting)
+	waiting := s.prefills.waiting()
+	s.awaitingPrefill.count(&waiting)
 	for _, load := range s.pending {
 		for _, w := range load.requests {
 			waiting.Add(w.pin.priority, w.pin.tokens)
@@ -265,8 +265,8 @@
 	return waiting
 }
 
-// free counts the slots that are free or could be made free at once, less those
-// that waiting requests will take; it is negative where more wait.
+// free returns the number of slots that are free or can be freed immediately, minus those
+// needed for the pending loads. It is negative if the pending loads need more.
 func (s *slots) free() int {
 	n := s.capacity - len(s.slots)
 	for key, sl := range s.slots {
@@ -282,13 +282,13 @@
 	return n
 }
 
-// evictable reports whether an adapter may be unloaded: it is loaded, and nobody
-// has pinned it or waits for it.
+// evictable reports whether an adapter may be unloaded. It must be loaded, with no pins and
+// no waiting requests.
 func (s *slots) evictable(key sandbarrow.AdapterKey, sl *slot) bool {
 	return sl.state == enginelink.SlotLoaded && s.pins[key] == 0 && s.pending[key] == nil
 }
 
-// status lists the slots in the order of their adapters.
+// status returns the slots sorted by adapter.
 func (s *slots) status() []enginelink.SlotStatus {
 	list := make([]enginelink.SlotStatus, 0, len(s.slots))
 	for key, sl := range s.slots {
--- a/controller/status.go
+++ b/controller/status.go
@@ -2,11 +2,11 @@
 
 import "sandbarrow.example/sandbarrow/enginelink"
 
-// status describes the engine. The caller holds mu.
+// status returns the engine's current status. The caller holds mu.
 func (c *Controller) status() enginelink.Status {
 	s := enginelink.Status{
 		Free: c.slots.free(), Gateways: len(c.links), Instance: c.instance, Draining: c.reported.Draining,
-		EngineUnreachable: c.failedReports >= unreachableAfter, Loads: c.slots.window.seen, Slots: c.slots.status(), Speed: c.slots.reading.publishedSpeed(), Token: c.token,
+		EngineUnreachable: c.failedReports >= unreachableAfter, Loads: c.slots.window.observed, Slots: c.slots.status(), Speed: c.slots.prefills.publishedSpeed(), Token: c.token,
 	}
 	for _, m := range c.reported.Models {
 		s.Models = append(s.Models, m.Model)
--- a/controller/frozen_test.go
+++ b/controller/suspendedprocess_test.go
@@ -12,7 +12,7 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-func TestNoUnloadRightAfterAFreeze(t *testing.T) {
+func TestNoUnloadRightAfterSuspendedProcess(t *testing.T) {
 	f := newFakeEngine(testSlots)
 	f.models = []sandbarrow.BaseModelID{testModel}
 	for i := range testSlots {
@@ -20,12 +20,12 @@
 	}
 	c := newTestController(t, f)
 	step(t, c)
-	link, _ := linkTo(t.Context(), c, nil), linkTo(t.Context(), c, nil)
-	eventually(t, func() bool { return c.linked() == 2 })
+	link, _ := openLink(t.Context(), c, nil), openLink(t.Context(), c, nil)
+	eventually(t, func() bool { return c.linkCount() == 2 })
 	time.Sleep(relinkTime + pinReportTime)
 	step(t, c)
 	c.mu.Lock()
-	c.now = func() time.Time { return boottime.Now().Add(enginelink.HeartbeatTimeout + enginelink.Heartbeat) } // as by SIGSTOP
+	c.now = func() time.Time { return boottime.Now().Add(enginelink.HeartbeatTimeout + enginelink.Heartbeat) } // as after SIGSTOP
 	c.mu.Unlock()
 	_, err := link.DispatchCall(t.Context(), enginelink.MethodAcquire, enginelink.Acquire{Adapter: "new", ID: "1", Model: testModel, WaitMS: 3000})
 	assert.NilError(t, err)
@@ -36,8 +36,8 @@
 	})
 	step(t, c)
 	for i := range testSlots {
-		_, held := f.loaded[key(fmt.Sprintf("old%d", i))]
-		assert.Check(t, held, "old%d was unloaded before a pin on it could be read", i)
+		_, present := f.loaded[key(fmt.Sprintf("old%d", i))]
+		assert.Check(t, present, "old%d was unloaded before a pin on it could be received", i)
 	}
 	eventually(t, func() bool {
 		step(t, c)
--- a/controller/suspension_test.go
+++ b/controller/suspension_test.go
@@ -9,12 +9,12 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-func TestUnloadsWaitAfterASuspension(t *testing.T) {
+func TestUnloadsWaitAfterSuspension(t *testing.T) {
 	c := newTestController(t, newFakeEngine(testSlots))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	assert.Equal(t, c.unreported.runs(c.now()), c.unreported.runs(c.now()))
+	assert.Equal(t, c.unreported.recordRun(c.now()), c.unreported.recordRun(c.now()))
 	boottime.Suspend(enginelink.HeartbeatTimeout)
-	assert.Check(t, c.unreported.runs(c.now()) >= enginelink.HeartbeatTimeout)
-	assert.Check(t, c.unreported.possible(c.now()))
+	assert.Check(t, c.unreported.recordRun(c.now()) >= enginelink.HeartbeatTimeout)
+	assert.Check(t, c.unreported.mayExist(c.now()))
 }
--- a/controller/token.go
+++ b/controller/token.go
@@ -11,8 +11,9 @@
 const (
 	// tokenKeyPrefix is the prefix of the keys whose revision is a fencing token.
 	tokenKeyPrefix = "sandbarrow/token/"
-	// tokenTimeout bounds one write for a token, tokenPause is the pause after a failed
-	// one: after a loss of all power a store that does not answer takes up to 2 s a call.
+	// tokenTimeout bounds one write for a token, and tokenPause is the pause after a failed
+	// one. After a total power loss, a store that does not respond takes up to 2 s per
+	// call.
 	tokenTimeout = 700 * time.Millisecond
 	tokenPause   = 150 * time.Millisecond
 )
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// renewToken writes the key of the token; the store's revision is the token.
-// A write without answer is made again: its revision is newer still.
+// renewToken writes the token's key. The store's revision of that write is the token. A
+// write without a response is repeated, and its revision is newer still.
 func (c *Controller) renewToken(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
@@ -43,8 +44,8 @@
 	c.raiseToken(sandbarrow.FencingToken(revision), "store")
 }
 
-// raiseToken raises the token; source says who knew it: the store, or the box of a
-// gateway.
+// raiseToken raises the token. source names where the token came from: the store, or the
+// box of a gateway.
 func (c *Controller) raiseToken(t sandbarrow.FencingToken, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/controller/unreportedpins_test.go
+++ b/controller/unreportedpins_test.go
@@ -7,28 +7,28 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestUnreportedPins(t *testing.T) {
+func TestUnloadsWaitForUnreportedPins(t *testing.T) {
 	start := time.Unix(0, 0)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	var u unreportedPins
-	assert.Check(t, !u.possible(start), "no gateway has been linked")
+	assert.Check(t, !u.mayExist(start), "no gateway has linked yet")
 
-	u.linked(start, 1)
-	assert.Check(t, u.possible(at(relinkTime-time.Millisecond)))
-	u.linked(at(relinkTime-pinReportTime), 2)
-	u.linked(at(relinkTime-pinReportTime/2), 3)
-	assert.Check(t, !u.possible(at(relinkTime)), "a further link does not prolong the wait")
+	u.linkOpened(start, 1)
+	assert.Check(t, u.mayExist(at(relinkTime-time.Millisecond)))
+	u.linkOpened(at(relinkTime-pinReportTime), 2)
+	u.linkOpened(at(relinkTime-pinReportTime/2), 3)
+	assert.Check(t, !u.mayExist(at(relinkTime)), "another link does not extend the wait")
 
 	var restarted unreportedPins
-	restarted.linked(start, 1)
-	restarted.linked(at(pinReportTime), 2)
-	assert.Check(t, restarted.possible(at(relinkTime-time.Millisecond)), "how many gateways there are is not known yet")
+	restarted.linkOpened(start, 1)
+	restarted.linkOpened(at(pinReportTime), 2)
+	assert.Check(t, restarted.mayExist(at(relinkTime-time.Millisecond)), "the number of gateways is not known yet")
 
 	lost := 10 * relinkTime
-	u.linked(at(lost), 1)
-	u.linked(at(lost+pinReportTime), 2)
-	assert.Check(t, u.possible(at(lost+3*pinReportTime)), "one of three gateways has not reported")
-	u.linked(at(lost+3*pinReportTime), 3)
-	assert.Check(t, u.possible(at(lost+3*pinReportTime)), "the report of the last is on its way")
-	assert.Check(t, !u.possible(at(lost+4*pinReportTime)), "all have reported")
+	u.linkOpened(at(lost), 1)
+	u.linkOpened(at(lost+pinReportTime), 2)
+	assert.Check(t, u.mayExist(at(lost+3*pinReportTime)), "one of three gateways has not reported")
+	u.linkOpened(at(lost+3*pinReportTime), 3)
+	assert.Check(t, u.mayExist(at(lost+3*pinReportTime)), "the report of the last gateway is still in transit")
+	assert.Check(t, !u.mayExist(at(lost+4*pinReportTime)), "all gateways have reported")
 }
