--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -78,7 +78,7 @@
 		return enginelink.Grant{Refused: enginelink.RefuseNoModel}, true
 	case c.now().Before(c.backoffUntil) && c.slots.needsOrder(sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, q.Version):
 		return enginelink.Grant{Refused: enginelink.RefuseBackoff}, true
-	case q.Instance != "" && c.instance != "" && !q.Instance.Is(c.instance):
+	case q.Instance != "" && c.instance != "" && !q.Instance.Matches(c.instance):
 		// The engine would refuse the request after a useless load, and the gateway's next
 		// attempt would use up a retry from its budget.
 		return enginelink.Grant{Refused: enginelink.RefuseInstance}, true
--- a/controller/acquirecall_test.go
+++ b/controller/acquirecall_test.go
@@ -94,7 +94,7 @@
 	c := newTestController(t, f)
 	step(t, c)
 	rpc := openLink(t.Context(), c, nil)
-	prefixes := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
+	prefixes := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	var prefilled enginelink.Grant
 	request := enginelink.Acquire{Adapter: "a", ID: "read", Model: testModel, Stretches: prefixes, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, request, &prefilled))
@@ -125,7 +125,7 @@
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	assert.Equal(t, c.slots.cached.Kept(prefilled.Weights(), prefixes), 0)
+	assert.Equal(t, c.slots.cached.CachedTokens(prefilled.Weights(), prefixes), 0)
 }
 
 func TestRestartWithoutOrdersDetected(t *testing.T) {
@@ -134,7 +134,7 @@
 	c := newTestController(t, f)
 	step(t, c)
 	c.mu.Lock()
-	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, promptPrefixes: promptcache.Stretches(key(""), "ab:3000,ef:100"), tokens: 3100}
+	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, promptPrefixes: promptcache.PromptPrefixes(key(""), "ab:3000,ef:100"), tokens: 3100}
 	c.slots.acquire(c.now(), &enginelink.Acquire{UsefulMS: 1000}, p)
 	c.mu.Unlock()
 	assert.Assert(t, p.granted)
@@ -143,5 +143,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.slots.responseStarted(c.now(), p)
-	assert.Equal(t, c.slots.cached.Kept(p.weights, p.promptPrefixes), 0, "the prompt was prefilled by the previous start")
+	assert.Equal(t, c.slots.cached.CachedTokens(p.weights, p.promptPrefixes), 0, "the prompt was prefilled by the previous start")
 }
--- a/controller/cachedprefixes_test.go
+++ b/controller/cachedprefixes_test.go
@@ -34,10 +34,10 @@
 	v.mirror.Apply(k.Changes, k.All)
 }
 
-func (v *cacheView) cachedTokens(w sandbarrow.WeightsVersion, s []promptcache.Stretch) int {
+func (v *cacheView) cachedTokens(w sandbarrow.WeightsVersion, s []promptcache.PromptPrefix) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.mirror.Kept(w, s)
+	return v.mirror.CachedTokens(w, s)
 }
 
 func TestCachedPrefixesReportedToGateways(t *testing.T) {
@@ -50,8 +50,8 @@
 	go func() { _ = c.publishLoop(t.Context()) }()
 	var first, later cacheView
 	rpc := openLink(t.Context(), c, first.apply)
-	prefixes := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
-	other := promptcache.Stretches(key("a"), "ab:3000,cd:500,09:100")
+	prefixes := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
+	other := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,09:100")
 	var g enginelink.Grant
 	request := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Stretches: prefixes, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, request, &g))
@@ -92,11 +92,11 @@
 	c := newTestController(t, f)
 	step(t, c)
 	rpc := openLink(t.Context(), c, nil)
-	prefixes := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
+	prefixes := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	cached := func(adapter sandbarrow.AdapterVersion, model sandbarrow.ModelVersion) int {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.slots.cached.Kept(sandbarrow.WeightsVersion{Adapter: adapter, Model: model}, prefixes)
+		return c.slots.cached.CachedTokens(sandbarrow.WeightsVersion{Adapter: adapter, Model: model}, prefixes)
 	}
 	prefill := func(id sandbarrow.RequestID) enginelink.Grant {
 		var g enginelink.Grant
--- a/controller/engineloop.go
+++ b/controller/engineloop.go
@@ -139,7 +139,7 @@
 	c.slots.capacity = 0
 	if service := c.ownService(); service != nil && service.Engine != nil {
 		c.slots.capacity = max(1, service.Engine.AdapterSlots-c.late.slotsToReserve(c.now(), c.sequence))
-		c.slots.cached.SetCapacity(service.Engine.MemoryTokens)
+		c.slots.cached.SetCapacity(service.Engine.KVCacheTokens)
 	}
 }
 
--- a/controller/pendingload.go
+++ b/controller/pendingload.go
@@ -32,7 +32,7 @@
 	// grantedAt.
 	prefilledAtGrant int
 	// promptPrefixes are the prefixes of the request's prompt.
-	promptPrefixes []promptcache.Stretch
+	promptPrefixes []promptcache.PromptPrefix
 	// tokens is the length of the prompt, and toPrefill the part that the engine had not
 	// cached at the grant.
 	tokens, toPrefill int
--- a/controller/slots.go
+++ b/controller/slots.go
@@ -158,7 +158,7 @@
 
 // uncachedTokens returns the number of prompt tokens that the engine has not cached.
 func (s *slots) uncachedTokens(p *pin) int {
-	return max(0, p.tokens-s.cached.Kept(p.weights, p.promptPrefixes))
+	return max(0, p.tokens-s.cached.CachedTokens(p.weights, p.promptPrefixes))
 }
 
 // requestDone releases the pin of a finished request.
--- a/gateway/progress.go
+++ b/gateway/progress.go
@@ -82,7 +82,7 @@
 // watchProgress ends an attempt that makes no progress, where the request may be
 // sent to another engine.
 func (c *call) watchProgress(ctx context.Context, cancel context.CancelCauseFunc, e *candidate, p *progress) {
-	if !c.route.Repeatable() {
+	if !c.route.Retryable() {
 		return
 	}
 	ticker := time.NewTicker(progressPause)
