--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -7,9 +7,9 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// authenticate finds the workspace that the caller speaks for, where the configuration
-// has workspaces and the route is not public. An unknown key is refused: the request is
-// sent to no upstream.
+// authenticate determines the caller's workspace from its key. This applies if the configuration
+// has workspaces and the route is not public. A request with an unknown key is refused and sent to
+// no upstream.
 func (c *call) authenticate() bool {
 	keys := c.view.Table.Keys
 	if keys == nil || c.route.Public {
@@ -26,17 +26,18 @@
 	return true
 }
 
-// findWorkspace finds the workspace of the caller's key.
+// findWorkspace returns the workspace of the caller's key, or nil.
 func (c *call) findWorkspace(keys *access.Keys) *access.Workspace {
 	return keys.Find(c.request.Header[c.gateway.config.Headers.Authorization])
 }
 
-// forbidden decides, right before each send, whether the request may still be sent: it may
-// have waited for long since its key was looked up. It returns the reason where it may not.
+// recheckKey decides right before each send whether the request may still be sent. The request may
+// have waited for a long time since its key was checked. It returns the reason if the request may
+// not be sent, and "" otherwise.
 //
-// Inputs: the newest configuration that this process knows, and for how long that is known
-// to be the newest.
-func (c *call) forbidden() reason {
+// Inputs: the newest configuration that this process has, and the time since it was confirmed to be
+// the newest.
+func (c *call) recheckKey() reason {
 	if c.workspace == nil {
 		return ""
 	}
@@ -55,9 +56,9 @@
 	return ""
 }
 
-// hideKey takes the caller's key and its own claim to a workspace out of what goes on to
-// upstreams, where the configuration has workspaces.
-func (c *call) hideKey() {
+// removeKeyHeaders removes the caller's key and any workspace that the caller names from the
+// headers for upstreams. It does so only if the configuration has workspaces.
+func (c *call) removeKeyHeaders() {
 	if c.view.Table.Keys == nil {
 		return
 	}
--- a/gateway/blocked.go
+++ b/gateway/blocked.go
@@ -19,9 +19,9 @@
 // requests.
 type blockedUpstreams struct {
 	// acceptsAt is the earliest time at which one of them accepts a request; zero if that is
-	// unknown for all of them. why is what blocks that one until then.
+	// unknown for all of them. cause is what blocks that one until then.
 	acceptsAt time.Time
-	why       availability.Reason
+	cause     availability.Reason
 	// anyAccepting is set if the last choice found an upstream that accepts requests, whether
 	// the call has already tried it or not.
 	anyAccepting bool
@@ -60,9 +60,9 @@
 
 // recordAcceptTime applies the time at which an upstream accepts a request again, and the
 // reason that blocks it until then.
-func (b *blockedUpstreams) recordAcceptTime(at time.Time, why availability.Reason) {
+func (b *blockedUpstreams) recordAcceptTime(at time.Time, cause availability.Reason) {
 	if b.acceptsAt.IsZero() || at.Before(b.acceptsAt) {
-		b.acceptsAt, b.why = at, why
+		b.acceptsAt, b.cause = at, cause
 	}
 }
 
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -15,60 +15,60 @@
 	"sandbarrow.example/sandbarrow/route"
 )
 
-// call is one request of a caller on its way: what was asked, what came of the
-// attempts so far, and how far the answer is. One goroutine serves a call; the
-// goroutine that watches a stream's progress only reads callerRequest.
+// call is one request of a caller: the request itself, the results of its attempts, and the state
+// of its response. One goroutine serves a call. The goroutine that watches a stream's progress
+// reads only callerRequest.
 type call struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
 	callerRequest
 	attempts
-	// crashVerdict is what was known of upstreams that ended under the request, when that was
-	// asked last.
-	crashVerdict crash.Verdict
-	// blocked is what was seen of upstreams that accept no request now.
+	// crashDecision is the result of the last check for upstreams that crashed under the request.
+	crashDecision crash.Verdict
+	// blocked is what the call has found out about upstreams that currently accept no requests.
 	blocked blockedUpstreams
-	quota   quotaAsk
+	quota   quotaRequest
 	streamState
 }
 
-// attempts is what came of a call's attempts so far. The rules of retryrule.go
-// decide by it, the log lines show it.
+// attempts is the result of a call's attempts so far. The rules in retryrule.go use it, and the log
+// lines show it.
 type attempts struct {
-	// sent counts the upstreams that got the request, ran those that may have run it.
+	// sent counts the upstreams that the request was sent to, ran those that may have run it.
 	sent, ran int
-	// chosen is the engine that was asked last, as it was seen when it was chosen.
+	// chosen is the engine of the last attempt, in its state when it was chosen.
 	chosen *candidate
-	// limit is what the last upstream that got the request takes of requests a second, where
-	// it names a limit.
-	limit float64
-	// last is the upstream that got the request last.
-	last sandbarrow.InstanceID
-	// notice is what that upstream had announced by then.
+	// namedLimit is the limit on requests per second that the last upstream names; 0 if it names
+	// none.
+	namedLimit float64
+	// lastUpstream is the upstream that the request was last sent to.
+	lastUpstream sandbarrow.InstanceID
+	// notice is the notice of that upstream in force when the request was sent.
 	notice availability.Notice
-	// acquired is the time spent to pin adapters.
+	// acquired is the time spent on pinning adapters.
 	acquired time.Duration
-	// failure is an engine's own failure, passed on where no other engine answers.
-	failure *wholeAnswer
-	// cause is why the last attempt at an engine did not answer, for its log line.
+	// failure is an engine's error response. It is passed on if no other engine serves the request.
+	failure *completeResponse
+	// cause is why the last attempt at an engine failed, for its log line.
 	cause string
 }
 
-// streamState is how far a streamed answer is.
+// streamState is the state of a streamed response.
 type streamState struct {
-	// committed says that the head of the answer has gone to the caller.
+	// committed is set once the response header has been sent to the caller.
 	committed bool
-	// events counts the events that the caller has.
+	// events counts the events that have been sent to the caller.
 	events int
-	// first is when the first event came, counted from the call's start.
+	// first is the time from the start of the call to its first event.
 	first time.Duration
-	// lastEvent is the id of the last event that the caller has, lastPassed when it got it.
+	// lastEvent is the id of the last event sent to the caller, lastPassed the time at which it was
+	// sent.
 	lastEvent  string
 	lastPassed time.Time
-	// paused is the longest pause between two events.
-	paused time.Duration
-	// unread is the part of the prompt's tokens that counts as waiting at the engine.
-	unread int
+	// longestPause is the longest pause between two events.
+	longestPause time.Duration
+	// uncachedTokens is the number of prompt tokens that count as waiting at the engine.
+	uncachedTokens int
 }
 
 // ServeHTTP serves one request of a caller.
@@ -83,9 +83,9 @@
 	if !c.findRoute() || !c.authenticate() || !c.prepare() || !c.admit() || !c.admitContent() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), c.left())
+	ctx, cancel := context.WithTimeout(r.Context(), c.timeLeft())
 	defer cancel()
-	if !c.takeQuota(ctx) {
+	if !c.acquireQuota(ctx) {
 		return
 	}
 	g.retryBudget(c.service.ID).Request()
@@ -96,8 +96,8 @@
 	c.servePlain(ctx)
 }
 
-// findRoute finds the route and the service under the configuration in force.
-// Where there is none it answers and returns false.
+// findRoute finds the route and the service under the configuration in force. If there is none, it
+// responds to the caller and returns false.
 func (c *call) findRoute() bool {
 	if c.view = c.gateway.awaitView(c.request.Context()); c.view == nil {
 		c.refuse(http.StatusServiceUnavailable, reasonNoConfig)
@@ -112,8 +112,8 @@
 	return true
 }
 
-// admit refuses a stream that comes so late in a planned stop that it might not
-// end before the process does.
+// admit refuses a stream that arrives so late in a planned stop that it might not finish before the
+// process exits.
 func (c *call) admit() bool {
 	after, stopping := c.gateway.stopped()
 	if stopping && after > refuseAfterStop && c.route.Kind == route.KindStream {
@@ -123,18 +123,18 @@
 	return true
 }
 
-// viewWait bounds the wait of a request for the gateway's first configuration and list of upstreams
-// after a start.
+// viewWait is the longest wait of a request for the gateway's first configuration and list of
+// upstreams after a start.
 const viewWait = 250 * time.Millisecond
 
-// awaitView returns the operators' state; right after a start it waits for it, and until it
-// is known to be the newest, for viewWait at most. It returns nil where there is none.
+// awaitView returns the operators' state. Right after a start it waits up to viewWait for the state
+// to arrive and to be confirmed as the newest. It returns nil if there is none.
 func (g *Gateway) awaitView(ctx context.Context) *estate.View {
 	began := boottime.Now()
 	for {
 		view := g.estate.View()
 		known := view != nil && g.directory.View() != nil
-		if known && (g.trusts(began) || began.Sub(g.started) > startTime) {
+		if known && (g.trusts(began) || began.Sub(g.started) > startupTime) {
 			return view
 		}
 		if boottime.Since(began) > viewWait || ctx.Err() != nil {
--- a/gateway/callend.go
+++ b/gateway/callend.go
@@ -12,106 +12,106 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// retryAfter is when a refused caller may come back, on average, so that refused callers
-// do not come back all at once. Soon serves them better than after the expected wait.
+// retryAfter is the mean delay after which a refused caller may retry. It is randomized so that
+// refused callers do not retry all at once. A short delay serves them better than the expected wait
+// would.
 const retryAfter = 250 * time.Millisecond
 
-// reason says why a call ended without an upstream's answer.
+// reason is why a call ended without a response from an upstream.
 type reason string
 
-// The reasons of a call's end.
+// The reasons for the end of a call.
 const (
 	reasonBadRequest reason = "bad-request"
 	reasonBroken     reason = "broken"
 	reasonBudget     reason = "retry-budget"
 	reasonDeadline   reason = "deadline"
-	// reasonEndsUpstreams is a request under which upstreams have ended.
-	reasonEndsUpstreams reason = "ends-upstreams"
-	reasonLeft          reason = "caller-left"
-	reasonLimit         reason = "limit"
-	reasonNoConfig      reason = "no-configuration"
-	reasonNoLeader      reason = "no-quota-leader"
-	reasonNoRoute       reason = "no-route"
-	reasonOverload      reason = "overload"
-	reasonNoUpstream    reason = "no-upstream"
-	reasonRefused       reason = "upstream-refused"
-	reasonSlots         reason = "no-slot"
-	reasonStale         reason = "stale-configuration"
-	reasonStopping      reason = "stopping"
-	reasonTooLarge      reason = "too-large"
-	reasonUnknownKey    reason = "unknown-key"
-	// reasonUpstreamBackoff is a request for which each upstream that is left wants none now.
+	// reasonCrashesUpstreams is a request under which upstreams have crashed.
+	reasonCrashesUpstreams reason = "ends-upstreams"
+	reasonCallerLeft       reason = "caller-left"
+	reasonLimit            reason = "limit"
+	reasonNoConfig         reason = "no-configuration"
+	reasonNoLeader         reason = "no-quota-leader"
+	reasonNoRoute          reason = "no-route"
+	reasonOverload         reason = "overload"
+	reasonNoUpstream       reason = "no-upstream"
+	reasonRefused          reason = "upstream-refused"
+	reasonSlots            reason = "no-slot"
+	reasonStale            reason = "stale-configuration"
+	reasonStopping         reason = "stopping"
+	reasonTooLarge         reason = "too-large"
+	reasonUnknownKey       reason = "unknown-key"
+	// reasonUpstreamBackoff is a request for which each remaining upstream is in backoff.
 	reasonUpstreamBackoff reason = "upstream-backoff"
-	// reasonUpstreamLimit is a request for which each upstream that is left has had what it
-	// takes.
+	// reasonUpstreamLimit is a request for which each remaining upstream has reached its limit.
 	reasonUpstreamLimit reason = "upstream-limit"
 )
 
-// wholeAnswer is an answer that has been read to its end.
-type wholeAnswer struct {
-	answer *forward.Answer
-	body   []byte
+// completeResponse is a response whose body has been read to the end.
+type completeResponse struct {
+	response *forward.Answer
+	body     []byte
 }
 
-// abort breaks off an answer that has begun, so that it does not look whole.
+// abort cuts off a response that has begun, so that the caller does not take it for complete.
 func (c *call) abort(why reason) {
 	if c.request.Context().Err() != nil {
-		why = reasonLeft
+		why = reasonCallerLeft
 	}
 	c.finish(0, why)
 	panic(http.ErrAbortHandler)
 }
 
-// copyHead gives an upstream's head to the caller.
-func (c *call) copyHead(a *forward.Answer) {
+// copyHeader copies the header of an upstream's response to the caller's response.
+func (c *call) copyHeader(a *forward.Answer) {
 	h := c.writer.Header()
-	for name, values := range passedOn(a.Header) {
+	for name, values := range withoutHopByHop(a.Header) {
 		h[name] = values
 	}
 }
 
-// giveUp ends a call that has no answer.
+// giveUp ends a call that has no response from an upstream.
 func (c *call) giveUp(ctx context.Context, why reason) {
-	late := c.left() <= minSendTime
+	late := c.timeLeft() <= minSendTime
 	if c.request.Context().Err() != nil {
-		c.finish(0, reasonLeft)
-		panic(http.ErrAbortHandler) // nobody reads an answer
+		c.finish(0, reasonCallerLeft)
+		panic(http.ErrAbortHandler) // the caller has disconnected
 	}
 	if why == reasonUnknownKey && c.ran == 0 {
 		c.refuse(http.StatusUnauthorized, why)
 		return
 	}
-	status, why := endStatus(c.ran, late || ctx.Err() != nil, c.unserved(why))
+	status, why := endStatus(c.ran, late || ctx.Err() != nil, c.unservedReason(why))
 	if why == reasonUpstreamLimit || why == reasonUpstreamBackoff {
-		c.refuseFor(status, why, c.blocked.retryAfter(boottime.Now()))
+		c.refuseWithRetryAfter(status, why, c.blocked.retryAfter(boottime.Now()))
 		return
 	}
 	c.refuse(status, why)
 }
 
-// pass gives a complete answer to the caller.
-func (c *call) pass(got *wholeAnswer) {
-	c.answeredBy(got.answer)
-	c.copyHead(got.answer)
+// writeResponse sends a complete response to the caller.
+func (c *call) writeResponse(got *completeResponse) {
+	c.recordResponse(got.response)
+	c.copyHeader(got.response)
 	if c.request.Method != http.MethodHead {
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(got.body)))
 	}
-	c.writer.WriteHeader(got.answer.Status)
-	_, _ = c.writer.Write(got.body) // a caller that left needs no answer
-	c.finish(got.answer.Status, "")
+	c.writer.WriteHeader(got.response.Status)
+	_, _ = c.writer.Write(got.body) // the caller may have disconnected
+	c.finish(got.response.Status, "")
 }
 
-// refuse ends the call with an answer of the gateway's own.
+// refuse ends the call with a response of the gateway itself.
 func (c *call) refuse(status int, why reason) {
-	c.refuseFor(status, why, jitter(retryAfter))
+	c.refuseWithRetryAfter(status, why, jitter(retryAfter))
 }
 
-// refuseFor ends the call with an answer of the gateway's own, which says when to come
-// back where that may help.
-func (c *call) refuseFor(status int, why reason, again time.Duration) {
+// refuseWithRetryAfter ends the call with a response of the gateway itself. It sets Retry-After if
+// a retry may help.
+func (c *call) refuseWithRetryAfter(status int, why reason, retryIn time.Duration) {
 	h := c.writer.Header()
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		h.Set("Retry-After", strconv.FormatFloat(again.Seconds(), 'f', 3, 64))
+		h.Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', 3, 64))
 	}
 	if c.id != "" {
 		h.Set(c.gateway.config.Headers.RequestID, c.id)
@@ -122,11 +122,11 @@
 	contentType, body := refusalBody(status, why)
 	h.Set("Content-Type", contentType)
 	c.writer.WriteHeader(status)
-	_, _ = c.writer.Write(body) // a caller that left needs no answer
+	_, _ = c.writer.Write(body) // the caller may have disconnected
 	c.finish(status, why)
 }
 
-// problem is the body of a refusal that concerns the caller's own rights, by RFC 9457.
+// problem is the RFC 9457 body of a refusal due to the caller's key or limit.
 type problem struct {
 	Detail string `json:"detail"`
 	Status int    `json:"status"`
@@ -134,13 +134,13 @@
 	Type   string `json:"type"`
 }
 
-// refusalBody is the body of a refusal: a problem for one that concerns the caller's key or
-// limit, else the reason as text.
+// refusalBody returns the body of a refusal. It is a problem document if the refusal is due to the
+// caller's key or limit, and the reason as plain text otherwise.
 func refusalBody(status int, why reason) (contentType string, body []byte) {
 	if status != http.StatusUnauthorized && status != http.StatusTooManyRequests {
 		return "text/plain; charset=utf-8", []byte(string(why) + "\n")
 	}
 	p := problem{Detail: string(why) + ": the request did not run", Status: status, Title: http.StatusText(status), Type: "about:blank"}
-	body, _ = json.Marshal(p) // texts and numbers always marshal
+	body, _ = json.Marshal(p) // strings and numbers always marshal
 	return "application/problem+json", body
 }
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -21,61 +21,63 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer that is passed on as a whole, and a body where the operators
-	// name no limit: four times the largest body limit seen (4 MiB).
-	maxAnswerBytes = 16 << 20
-	// defaultTimeout bounds requests where neither caller nor route does: all routes seen name one.
+	// maxResponseBytes bounds a response that is read completely before it is passed on. It also
+	// bounds a request body if the operators set no limit. It is four times the largest body limit
+	// seen (4 MiB).
+	maxResponseBytes = 16 << 20
+	// defaultTimeout bounds a request if neither its caller nor its route names a timeout. All
+	// routes seen name one.
 	defaultTimeout = 60 * time.Second
-	// longestDeadline is the largest deadline that a caller may name; a larger one
-	// is malformed.
-	longestDeadline = 24 * time.Hour
+	// maxDeadline is the longest deadline that a caller may name; a longer one is malformed.
+	maxDeadline = 24 * time.Hour
 )
 
-// callerRequest is what a caller asks for. It is filled before the first attempt;
-// after that only version changes, when operators name a newer one.
+// callerRequest is the request of a caller. It is filled before the first attempt. After that only
+// version changes, when operators name a newer one.
 type callerRequest struct {
 	began   time.Time
 	body    []byte
 	request *http.Request
-	// header holds the headers that go on to the upstream.
+	// header holds the headers that are sent on to the upstream.
 	header http.Header
 	id     string
-	// digest is the fingerprint, once it was needed.
+	// digest is the fingerprint of the request; nil until it is first needed.
 	digest  *crash.Fingerprint
 	route   *route.Route
 	service *route.Service
 	// view is the configuration under which the request is served.
 	view *estate.View
-	// callerEnds is when the caller stops waiting, ends when the call does.
-	callerEnds, ends time.Time
+	// callerDeadline is when the caller stops waiting, deadline when the call ends.
+	callerDeadline, deadline time.Time
 
-	key       sandbarrow.AdapterKey
-	stretches []promptcache.Stretch
-	// tokens is the length of the prompt; 0 where the caller names none.
+	key            sandbarrow.AdapterKey
+	promptPrefixes []promptcache.Stretch
+	// tokens is the length of the prompt; 0 if the caller does not name it.
 	tokens int
-	// version is the least version of the adapter that may run; 0 for a base model alone,
-	// of which any version may.
+	// version is the oldest version of the adapter that may run. It is 0 for a request for a base
+	// model alone, which any version may serve.
 	version sandbarrow.AdapterVersion
-	// workspace is that of the caller's key; nil where the route needs none.
+	// workspace is the workspace of the caller's key; nil if the route needs no key.
 	workspace *access.Workspace
 }
 
-// begin notes that the request has come.
+// begin records the request and its arrival time.
 func (r *callerRequest) begin(q *http.Request) {
 	r.began, r.request = boottime.Now(), q
 }
 
-// elapsed is how long ago the request came.
+// elapsed returns the time since the request arrived.
 func (r *callerRequest) elapsed() time.Duration {
 	return boottime.Since(r.began)
 }
 
-// left is how long it is until the call ends.
-func (r *callerRequest) left() time.Duration {
-	return boottime.Until(r.ends)
+// timeLeft returns the time until the deadline of the call.
+func (r *callerRequest) timeLeft() time.Duration {
+	return boottime.Until(r.deadline)
 }
 
-// prepare reads the request and checks it. On a fault it answers and returns false.
+// prepare reads and checks the request. If the request is invalid, it responds to the caller and
+// returns false.
 func (c *call) prepare() bool {
 	if !c.readBody() {
 		return false
@@ -94,13 +96,13 @@
 		return false
 	}
 	c.header = upstreamHeader(c.request.Header, c.gateway.config.Headers.Reserved)
-	c.hideKey()
+	c.removeKeyHeaders()
 	c.readModel()
 	return true
 }
 
-// readBody reads the whole body within the operators' limit. On a fault it
-// answers and returns false.
+// readBody reads the complete body within the operators' limit. On an error it responds to the
+// caller and returns false.
 func (c *call) readBody() bool {
 	body, err := readBody(c.request, c.writer, c.view.Table.Limits.MaxBodyBytes)
 	var tooLarge *http.MaxBytesError
@@ -116,47 +118,47 @@
 	return true
 }
 
-// readDeadline sets when the call ends: with the route's timeout, or before it
-// when the caller stops waiting. It returns false for a malformed deadline.
+// readDeadline sets the deadline of the call. This is the end of the route's timeout, or the
+// caller's deadline if that is earlier. It returns false for a malformed deadline.
 func (c *call) readDeadline() bool {
 	timeout := c.route.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	c.ends = c.began.Add(timeout)
-	c.callerEnds = c.ends
+	c.deadline = c.began.Add(timeout)
+	c.callerDeadline = c.deadline
 	if text := c.request.Header.Get(c.gateway.config.Headers.Deadline); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
-		if err != nil || ms <= 0 || ms > float64(longestDeadline.Milliseconds()) {
+		if err != nil || ms <= 0 || ms > float64(maxDeadline.Milliseconds()) {
 			return false
 		}
-		c.callerEnds = c.began.Add(time.Duration(ms * float64(time.Millisecond)))
+		c.callerDeadline = c.began.Add(time.Duration(ms * float64(time.Millisecond)))
 	}
-	if c.callerEnds.Before(c.ends) {
-		c.ends = c.callerEnds
+	if c.callerDeadline.Before(c.deadline) {
+		c.deadline = c.callerDeadline
 	}
 	return true
 }
 
-// readModel reads what an engine must hold for the request.
+// readModel reads what an engine must have loaded for the request.
 func (c *call) readModel() {
 	names := &c.gateway.config.Headers
 	model, adapter, _ := strings.Cut(c.request.Header.Get(names.Model), "/")
 	c.key = sandbarrow.AdapterKey{Adapter: sandbarrow.AdapterID(adapter), Model: sandbarrow.BaseModelID(model)}
-	c.stretches = promptcache.Stretches(c.key, c.request.Header.Get(names.Prompt))
-	c.version = c.leastVersion()
+	c.promptPrefixes = promptcache.Stretches(c.key, c.request.Header.Get(names.Prompt))
+	c.version = c.minVersion()
 	c.tokens = c.readTokens(c.request.Header.Get(names.Tokens))
 	c.lastEvent = c.request.Header.Get(names.LastEvent)
 }
 
-// leastVersion is the least version of the adapter that may run now.
-func (c *call) leastVersion() sandbarrow.AdapterVersion {
+// minVersion returns the oldest version of the adapter that may run now.
+func (c *call) minVersion() sandbarrow.AdapterVersion {
 	return c.gateway.estate.View().LeastVersion(c.key)
 }
 
-// readTokens reads the prompt's length in tokens from a list that begins with it.
-// A missing or malformed length counts as 0: it only estimates the engine's work,
-// and a request is served without an estimate.
+// readTokens reads the prompt's length in tokens from a list that begins with it. A missing or
+// malformed length counts as 0. It is only used to estimate the engine's work, and a request can be
+// served without an estimate.
 func (c *call) readTokens(list string) int {
 	if list == "" {
 		return 0
@@ -169,19 +171,18 @@
 	return tokens
 }
 
-// readBody reads the whole body of at most limit bytes; a limit of 0 is
-// maxAnswerBytes.
+// readBody reads the complete body of at most limit bytes; a limit of 0 means maxResponseBytes.
 func readBody(r *http.Request, w http.ResponseWriter, limit int) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
 	if limit <= 0 {
-		limit = maxAnswerBytes
+		limit = maxResponseBytes
 	}
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
 }
 
-// headerBytes is the size of a request's head on the wire.
+// headerBytes returns the size of a request's header on the wire.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -192,43 +193,43 @@
 	return n
 }
 
-// connectionHeaders concern one connection only.
-var connectionHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host",
 }
 
-// passedOn copies the headers that go on to the other side.
-func passedOn(h http.Header) http.Header {
+// withoutHopByHop returns a copy of the headers without those that apply to a single connection.
+func withoutHopByHop(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// upstreamHeader copies a caller's headers that go on to upstreams: none that
-// concern one connection, and none that only a gateway may set. A caller that sets
-// one of those would direct the engine in the gateway's name: of a calm day with such
-// callers the engines refused 417 of 1,309 sends, and 0 without the headers.
+// upstreamHeader copies the headers of a caller that are forwarded to upstreams. It drops
+// hop-by-hop headers and those that only a gateway may set. With the latter, a caller could direct
+// the engine in the name of the gateway. With such callers, engines refused 417 of 1,309 sends, and
+// 0 once the headers were dropped.
 func upstreamHeader(h http.Header, reserved []string) http.Header {
-	out := passedOn(h)
+	out := withoutHopByHop(h)
 	for _, name := range reserved {
 		out.Del(name)
 	}
 	return out
 }
 
-// upstreamRequest makes the request for one upstream.
+// upstreamRequest builds the request for one upstream.
 func (c *call) upstreamRequest(in *sandbarrow.Instance, version sandbarrow.AdapterVersion) *forward.Request {
 	names := &c.gateway.config.Headers
 	h := c.header.Clone()
-	h.Set(names.Deadline, strconv.FormatInt(max(1, (c.left()+c.callerEnds.Sub(c.ends)).Milliseconds()), 10))
+	h.Set(names.Deadline, strconv.FormatInt(max(1, (c.timeLeft()+c.callerDeadline.Sub(c.deadline)).Milliseconds()), 10))
 	h.Set(names.ExpectInstance, string(in.ID.Listed()))
 	if c.service.Engine != nil {
 		if c.chosen != nil && c.chosen.move.sourceAddress() != "" {
--- a/gateway/calllog.go
+++ b/gateway/calllog.go
@@ -9,11 +9,10 @@
 	"sandbarrow.example/sandbarrow/availability"
 )
 
-// maxLogged bounds a caller's text in a log line, in bytes: enough to recognise a host or path.
-const maxLogged = 80
+// maxLoggedBytes bounds text of a caller in a log line. It is enough to recognise a host or path.
+const maxLoggedBytes = 80
 
-// logAttempt writes a line for an attempt that failed, with the view of the
-// upstream by which it was chosen.
+// logAttempt logs a failed attempt, with the state of the upstream by which it was chosen.
 func (c *call) logAttempt(id sandbarrow.InstanceID, result, cause string, e *candidate) {
 	attrs := []slog.Attr{
 		slog.String("request", c.id), slog.String("upstream", string(id)), slog.String("result", result), slog.String("cause", cause),
@@ -22,14 +21,14 @@
 	if c.digest != nil {
 		attrs = append(attrs, slog.String("fingerprint", c.digest.String()))
 	}
-	if id == c.last {
+	if id == c.lastUpstream {
 		attrs = append(attrs, noticeAttributes(&c.notice)...)
 	}
 	attrs = append(attrs, e.attributes()...)
 	c.gateway.logger.LogAttrs(context.Background(), slog.LevelInfo, "attempt", attrs...)
 }
 
-// finish counts the call and writes its line.
+// finish records the metrics of the call and logs it.
 func (c *call) finish(status int, why reason) {
 	took := c.elapsed()
 	c.gateway.metrics.finished(c, status, why, took)
@@ -40,17 +39,17 @@
 	c.gateway.logger.LogAttrs(context.Background(), level, "request", c.attributes(status, why, took)...)
 }
 
-// attributes describe the end of the call and what decided it.
+// attributes returns the log attributes of the end of the call and its reasons.
 func (c *call) attributes(status int, why reason, took time.Duration) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String("request", c.id), slog.Int("status", status), slog.Int64("took_ms", took.Milliseconds()),
-		slog.Int("sent", c.sent), slog.Int("ran", c.ran), slog.String("upstream", string(c.last)),
+		slog.Int("sent", c.sent), slog.Int("ran", c.ran), slog.String("upstream", string(c.lastUpstream)),
 	}
 	if why != "" {
 		attrs = append(attrs, slog.String("reason", string(why)))
 	}
-	if c.limit > 0 {
-		attrs = append(attrs, slog.Float64("upstream_limit", c.limit))
+	if c.namedLimit > 0 {
+		attrs = append(attrs, slog.Float64("upstream_limit", c.namedLimit))
 	}
 	attrs = append(attrs, noticeAttributes(&c.notice)...)
 	if c.workspace != nil {
@@ -71,14 +70,14 @@
 	if c.service != nil && c.service.Engine != nil {
 		attrs = append(attrs, slog.String("adapter", string(c.key.Adapter)), slog.Uint64("version", uint64(c.version)),
 			slog.Int("tokens", c.tokens), slog.Int64("acquire_ms", c.acquired.Milliseconds()),
-			slog.Int64("first_ms", c.first.Milliseconds()), slog.Int("events", c.events), slog.Int64("longest_pause_ms", c.paused.Milliseconds()))
+			slog.Int64("first_ms", c.first.Milliseconds()), slog.Int("events", c.events), slog.Int64("longest_pause_ms", c.longestPause.Milliseconds()))
 		attrs = append(attrs, c.chosen.attributes()...)
 	}
 	return attrs
 }
 
-// noticeAttributes describe what an upstream had announced when it got the request; none where
-// that was nothing.
+// noticeAttributes returns the log attributes of the notice in force when the request was sent.
+// There are none if the upstream had sent no notice.
 func noticeAttributes(n *availability.Notice) []slog.Attr {
 	var attrs []slog.Attr
 	if n.Draining {
@@ -90,15 +89,15 @@
 	return attrs
 }
 
-// attributes describe an engine as it was seen when it was chosen, and what it was told to
-// take of the prompt; nil has none.
+// attributes returns the log attributes of an engine in its state when it was chosen, and of the
+// prompt move that it was asked to make. A nil candidate has none.
 func (e *candidate) attributes() []slog.Attr {
 	if e == nil {
 		return nil
 	}
 	attrs := []slog.Attr{
 		slog.Bool("linked", e.linked), slog.Bool("held", e.loadedOrLoading), slog.Int("free", e.status.Free), slog.Int("running", e.status.Running),
-		slog.Int("kept_tokens", e.kept), slog.Int("waiting_tokens", e.waitingTokens), slog.Int64("cost_ms", e.cost.Milliseconds()),
+		slog.Int("kept_tokens", e.cached), slog.Int("waiting_tokens", e.waitingTokens), slog.Int64("cost_ms", e.cost.Milliseconds()),
 		slog.Float64("token_us", float64(e.speed().PerToken)/float64(time.Microsecond)), slog.Int64("base_ms", e.speed().Base.Milliseconds()),
 		slog.Int64("status_age_ms", e.link.age().Milliseconds()), slog.Uint64("granted_version", uint64(e.granted.Adapter)),
 		slog.Uint64("model_version", uint64(e.granted.Model)),
@@ -106,7 +105,8 @@
 	return append(attrs, e.move.attributes()...)
 }
 
-// attributes describe what came of a move; none where there was none, or it was not settled.
+// attributes returns the log attributes of the outcome of a move. There are none without a move or
+// before its outcome is decided.
 func (m *promptMove) attributes() []slog.Attr {
 	switch m.outcome {
 	case "":
@@ -120,7 +120,7 @@
 	return []slog.Attr{slog.String("move", string(m.outcome))}
 }
 
-// clip bounds a caller's text in a log line.
+// clip truncates text of a caller for a log line.
 func clip(text string) string {
-	return text[:min(len(text), maxLogged)]
+	return text[:min(len(text), maxLoggedBytes)]
 }
--- a/gateway/candidate.go
+++ b/gateway/candidate.go
@@ -54,12 +54,12 @@
 	for i := range members {
 		m := &members[(first+i)%len(members)]
 		e := candidate{instance: m.instance, link: m.link, linkView: m.link.view(now, c)}
-		look, allowed := c.look(now, m.instance, e.report(), excluded)
+		check, allowed := c.check(now, m.instance, e.report(), excluded)
 		if !allowed {
 			continue
 		}
 		e.remote = m.instance.FailureDomain != g.config.Domain
-		e.inFlight, e.cost = look.InFlight, look.Penalty
+		e.inFlight, e.cost = check.InFlight, check.Penalty
 		list = append(list, e)
 	}
 	return list
@@ -97,13 +97,13 @@
 	return false
 }
 
-// unread returns how many of a prompt's tokens the engine has to prefill. A nil
+// uncachedTokens returns how many of a prompt's tokens the engine has to prefill. A nil
 // candidate has none of them cached.
-func (e *candidate) unread(tokens int) int {
+func (e *candidate) uncachedTokens(tokens int) int {
 	if e == nil {
 		return tokens
 	}
-	return max(0, tokens-e.kept-e.move.tokens)
+	return max(0, tokens-e.cached-e.move.tokens)
 }
 
 // speed returns the engine's prefill speed as its controller estimates it. A nil candidate
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -21,15 +21,16 @@
 )
 
 const (
-	// redialPause is the mean pause after a failed or lost link: short against the controller's
-	// grace period for pins (0.8 s).
+	// redialPause is the mean pause after a failed or lost connection. It is short compared with
+	// the controller's grace period for pins (0.8 s).
 	redialPause = 150 * time.Millisecond
-	// acquireSlack is how much longer than its wait an acquire may take, for the messages' way.
+	// acquireSlack is how much longer than its wait an acquire call may take, to allow for the
+	// network.
 	acquireSlack = 250 * time.Millisecond
 )
 
-// controllerLink is the link to one controller: it dials it, speaks the protocol
-// with it, and keeps what it reports in a linkState.
+// controllerLink is the link to one controller. It dials the controller, speaks its protocol, and
+// stores what it reports in a linkState.
 type controllerLink struct {
 	address string
 	cancel  context.CancelFunc
@@ -37,7 +38,7 @@
 	linkState
 }
 
-// run keeps the link until ctx ends.
+// run keeps the link connected until ctx ends.
 func (l *controllerLink) run(ctx context.Context) {
 	dialer := net.Dialer{Timeout: forward.DialTimeout, KeepAlive: -1}
 	for ctx.Err() == nil {
@@ -49,12 +50,11 @@
 	}
 }
 
-// serve works over one connection until it ends or no status has arrived for
-// enginelink.HeartbeatTimeout.
+// serve uses one connection until it ends or no status has arrived for enginelink.HeartbeatTimeout.
 func (l *controllerLink) serve(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	typical := l.gateway.engines.typicalSpeed()
+	typical := l.gateway.engines.medianSpeed()
 	ready := make(chan struct{})
 	stream := wire.NewStreamSize(conn, enginelink.ReadBufferBytes)
 	stream.ServeDirectly(enginelink.MethodStatus, func(params []byte) error {
@@ -88,14 +88,14 @@
 	for {
 		select {
 		case <-rpc.DisconnectNotify():
-			l.lost("disconnected")
+			l.markDown("disconnected")
 			return
 		case <-ctx.Done():
 			return
 		case <-time.After(enginelink.Heartbeat):
 		}
 		if !l.up(boottime.Now()) {
-			l.lost("silent")
+			l.markDown("silent")
 			return
 		}
 	}
@@ -108,19 +108,19 @@
 		return errors.Annotate(err, enginelink.MethodStatus)
 	}
 	full, before := l.applyStatus(s)
-	l.gateway.learnLoads(before, full.Loads)
+	l.gateway.observeLoads(before, full.Loads)
 	return nil
 }
 
-// learnLoads follows the loads that a controller reports: last is what it reported before.
-func (g *Gateway) learnLoads(last, now enginelink.Loads) {
+// observeLoads records the load times that a controller reports. last is its previous report.
+func (g *Gateway) observeLoads(last, now enginelink.Loads) {
 	if now.Count != last.Count {
 		g.loadTimes.ObserveLoad(time.Duration(now.TookMS) * time.Millisecond)
 	}
 }
 
-// lost marks the link as down.
-func (l *controllerLink) lost(how string) {
+// markDown marks the link as down.
+func (l *controllerLink) markDown(how string) {
 	l.mu.Lock()
 	l.rpc = nil
 	l.mu.Unlock()
@@ -136,11 +136,11 @@
 		}
 		return nil, l.readStatus(*r.Params)
 	case enginelink.MethodKept:
-		var k enginelink.Kept
-		if err := wire.Decode(r, &k); err != nil {
+		var cached enginelink.Kept
+		if err := wire.Decode(r, &cached); err != nil {
 			return nil, err
 		}
-		l.applyKept(&k)
+		l.applyCached(&cached)
 		return nil, nil
 	case enginelink.MethodCrashes:
 		var m enginelink.Crashes
@@ -154,8 +154,8 @@
 		if err := wire.Decode(r, &m); err != nil {
 			return nil, err
 		}
-		for _, told := range m.Records {
-			l.gateway.upstreams.learnLimit(told)
+		for _, record := range m.Records {
+			l.gateway.upstreams.mergeLimit(record)
 		}
 		return nil, nil
 	case enginelink.MethodListed:
@@ -166,11 +166,11 @@
 		l.gateway.directory.Learn(change)
 		return nil, nil
 	case enginelink.MethodLeads:
-		var leads enginelink.Leads
-		if err := wire.Decode(r, &leads); err != nil {
+		var leaders enginelink.Leads
+		if err := wire.Decode(r, &leaders); err != nil {
 			return nil, err
 		}
-		l.gateway.leads.learn(l, &leads)
+		l.gateway.leaders.apply(l, &leaders)
 		return nil, nil
 	case enginelink.MethodMark:
 		var m enginelink.Mark
@@ -187,8 +187,8 @@
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
 
-// acquire asks the controller to pin an adapter. ok is false when the controller
-// did not answer in time.
+// acquire asks the controller to pin an adapter. ok is false if the controller did not reply in
+// time.
 func (l *controllerLink) acquire(ctx context.Context, q *enginelink.Acquire) (g enginelink.Grant, ok bool) {
 	rpc := l.connection()
 	if rpc == nil {
@@ -198,7 +198,7 @@
 	defer cancel()
 	err := rpc.Call(ctx, enginelink.MethodAcquire, q, &g)
 	if err != nil {
-		// The grant may still come; it must not pin its adapter.
+		// The grant may still be made. Its pin must be released.
 		_ = rpc.Notify(context.WithoutCancel(ctx), enginelink.MethodDone, enginelink.Pin{ID: q.ID})
 	}
 	if err == nil && g.Refused == "" {
@@ -207,8 +207,7 @@
 	return g, err == nil
 }
 
-// report reports the progress of a pinned request to the controller; MethodDone ends
-// its pin.
+// report reports the progress of a pinned request to the controller. MethodDone releases its pin.
 func (l *controllerLink) report(method string, id sandbarrow.RequestID) {
 	l.mu.Lock()
 	rpc := l.rpc
@@ -217,15 +216,15 @@
 	}
 	l.mu.Unlock()
 	if rpc != nil {
-		_ = rpc.Notify(context.Background(), method, enginelink.Pin{ID: id}) // a controller whose link has ended drops its pins after a grace period
+		_ = rpc.Notify(context.Background(), method, enginelink.Pin{ID: id}) // a controller that loses its link drops the pins after a grace period
 	}
 }
 
-// takePin keeps a pin that is taken without the controller, since the link is not usable.
-// The controller learns of it when it is linked anew. Where there is a connection that has
-// reported nothing yet, or nothing for a while, it is told at once: that connection may go
-// on, and the adapter would be unloaded under the request.
-func (l *controllerLink) takePin(ctx context.Context, q *enginelink.Acquire) {
+// addUnreportedPin stores a pin taken without the controller because the link is not usable. The
+// controller receives the pin when the link reconnects. If a connection exists but has not reported
+// a status yet, or not for a while, the pin is also reported at once. That connection may recover,
+// and the controller would otherwise unload the adapter under the request.
+func (l *controllerLink) addUnreportedPin(ctx context.Context, q *enginelink.Acquire) {
 	l.addPin(q)
 	if rpc := l.connection(); rpc != nil {
 		_ = rpc.Notify(context.WithoutCancel(ctx), enginelink.MethodUsing, q)
--- a/gateway/controllersends.go
+++ b/gateway/controllersends.go
@@ -9,13 +9,13 @@
 	"sandbarrow.example/sandbarrow/sendkeepers"
 )
 
-// errNoConnection means that a process is not linked now.
+// errNoConnection means that the process has no connection at present.
 const errNoConnection = errors.ConstError("gateway: no connection")
 
-// Name is the controller's address.
+// Name returns the controller's address.
 func (l *controllerLink) Name() string { return l.address }
 
-// Send asks the controller for one send.
+// Send requests one send permit from the controller.
 func (l *controllerLink) Send(ctx context.Context, q enginelink.Send) (grant enginelink.SendGrant, err error) {
 	rpc := l.connection()
 	if rpc == nil {
@@ -27,7 +27,7 @@
 	return grant, err
 }
 
-// Sent reports to the controller what another process granted.
+// Sent reports to the controller what another coordinator has granted.
 func (l *controllerLink) Sent(s enginelink.Sent) {
 	if rpc := l.connection(); rpc != nil {
 		_ = rpc.Notify(context.Background(), enginelink.MethodSent, s) // a link that has broken has lost its count too
--- a/gateway/crashsync.go
+++ b/gateway/crashsync.go
@@ -19,46 +19,45 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// This file shares what is known of requests that end upstreams: with the other gateways
-// through two controllers, which keep it for gateways that start, and, without any
-// controller, with the peers. crashkeeper.go keeps it in the store, for the case that all
-// processes end.
+// This file shares records of fatal requests with the other gateways. Two controllers relay them,
+// and keep them for gateways that start. Without any controller, gateways exchange them with their
+// peers. crashstore.go keeps them in the store in case all processes exit.
 
 const (
-	// crashRelays is through how many controllers a gateway tells the others: one may be
-	// lost with the box that its engine ran on.
+	// crashRelays is the number of controllers that relay the records. One of them may be lost
+	// together with the box of its engine.
 	crashRelays = 2
-	// crashRetry is after how long what could not be told is told again, and peers are asked for
-	// what they know: a third of the 3 s after which a process must act on what others know.
+	// crashRetry is the interval at which failed messages are sent again and peers are queried. It
+	// is a third of the 3 s within which a process must act on records of others.
 	crashRetry = time.Second
-	// crashPeersAfter is after how long without any controller peers are asked: links come up
-	// within some 0.3 s of a start.
+	// crashPeersAfter is the time without any controller after which peers are queried. Links come
+	// up within some 0.3 s of a start.
 	crashPeersAfter = time.Second
 )
 
-// crashSync tells others what this gateway knows of requests that end upstreams.
+// crashSync sends this gateway's records of fatal requests to other processes.
 type crashSync struct {
 	gateway *Gateway
-	// told has, for each connection to a controller, up to which number it was told; the
-	// loop's own.
-	told map[*jsonrpc2.Conn]uint64
+	// sentUpTo holds, for each connection to a controller, the number of the last change sent. Only
+	// the loop uses it.
+	sentUpTo map[*jsonrpc2.Conn]uint64
 }
 
 func newCrashSync(g *Gateway) *crashSync {
-	return &crashSync{gateway: g, told: map[*jsonrpc2.Conn]uint64{}}
+	return &crashSync{gateway: g, sentUpTo: map[*jsonrpc2.Conn]uint64{}}
 }
 
-// run shares what is known until ctx ends.
+// run shares records until ctx ends.
 func (s *crashSync) run(ctx context.Context) error {
 	var group errgroup.Group
-	group.Go(func() error { return s.gateway.onCrashes(ctx, s.tellRelays) })
-	group.Go(func() error { return s.gateway.onCrashes(ctx, s.tellPeers) })
+	group.Go(func() error { return s.gateway.onCrashChanges(ctx, s.sendToRelays) })
+	group.Go(func() error { return s.gateway.onCrashChanges(ctx, s.exchangeWithPeers) })
 	return group.Wait()
 }
 
-// onCrashes calls do whenever the log of crashes has changed, and each crashRetry, until ctx
-// ends.
-func (g *Gateway) onCrashes(ctx context.Context, do func(context.Context)) error {
+// onCrashChanges calls do whenever the crash log has changed, and at least every crashRetry, until
+// ctx ends.
+func (g *Gateway) onCrashChanges(ctx context.Context, do func(context.Context)) error {
 	for ctx.Err() == nil {
 		changed := g.crashes.Changed()
 		do(ctx)
@@ -72,8 +71,8 @@
 	return nil
 }
 
-// relays are the controllers that pass on to other gateways what this one tells. All
-// gateways prefer the same ones.
+// relays returns the controllers that relay this gateway's records to other gateways. All gateways
+// prefer the same ones.
 func (s *crashSync) relays(now time.Time) []*controllerLink {
 	up := s.gateway.engines.upLinks(now)
 	slices.SortFunc(up, func(a, b *controllerLink) int {
@@ -82,31 +81,30 @@
 	return up[:min(len(up), crashRelays)]
 }
 
-// tellRelays tells each relay what has changed since it was told, or all where it is
-// another one or its connection is new.
-func (s *crashSync) tellRelays(ctx context.Context) {
+// sendToRelays sends each relay the changes since the last message. It sends everything to a new
+// relay or on a new connection.
+func (s *crashSync) sendToRelays(ctx context.Context) {
 	if s.gateway.crashes.Empty() {
 		return
 	}
-	told := map[*jsonrpc2.Conn]uint64{}
+	sentUpTo := map[*jsonrpc2.Conn]uint64{}
 	for _, l := range s.relays(boottime.Now()) {
 		rpc := l.connection()
 		if rpc == nil {
 			continue
 		}
-		records, next := s.gateway.crashes.Since(s.told[rpc], l)
+		records, next := s.gateway.crashes.Since(s.sentUpTo[rpc], l)
 		if len(records) > 0 && rpc.Notify(ctx, enginelink.MethodCrashes, enginelink.Crashes{Records: records}) != nil {
-			continue // the link has broken: its next connection is told all
+			continue // the link has broken: its next connection receives everything
 		}
-		told[rpc] = next
+		sentUpTo[rpc] = next
 	}
-	s.told = told
+	s.sentUpTo = sentUpTo
 }
 
-// tellPeers tells each peer what this gateway knows and learns what the peer knows, where no
-// controller is linked. One that knows nothing asks too: it may have started after the
-// others were told.
-func (s *crashSync) tellPeers(ctx context.Context) {
+// exchangeWithPeers exchanges all records with each peer while no controller is linked. A gateway
+// without records queries its peers too, because it may have started after they exchanged theirs.
+func (s *crashSync) exchangeWithPeers(ctx context.Context) {
 	if s.gateway.engines.anyUp() || boottime.Since(s.gateway.started) < crashPeersAfter {
 		return
 	}
@@ -114,15 +112,15 @@
 	for _, address := range s.gateway.config.Peers {
 		group.Go(func() error {
 			if err := s.gateway.exchangeCrashes(ctx, address); err != nil {
-				s.gateway.logger.Debug("peer did not answer", "peer", address, "error", err.Error())
+				s.gateway.logger.Debug("peer did not reply", "peer", address, "error", err.Error())
 			}
 			return nil
 		})
 	}
-	_ = group.Wait() // each peer that does not answer is logged, and asked again
+	_ = group.Wait() // each failed peer is logged and queried again
 }
 
-// exchangeCrashes tells one peer all that is known, and merges its answer.
+// exchangeCrashes sends all records to one peer, and merges its reply.
 func (g *Gateway) exchangeCrashes(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -132,21 +130,21 @@
 	}
 	defer rpc.Close()
 	records, _ := g.crashes.Since(0, nil)
-	var answer enginelink.Crashes
-	if err := rpc.Call(ctx, enginelink.MethodCrashes, enginelink.Crashes{Records: records}, &answer); err != nil {
+	var reply enginelink.Crashes
+	if err := rpc.Call(ctx, enginelink.MethodCrashes, enginelink.Crashes{Records: records}, &reply); err != nil {
 		return errors.Trace(err)
 	}
-	g.crashes.Merge(g, answer.Records)
+	g.crashes.Merge(g, reply.Records)
 	return nil
 }
 
-// serveCrashes answers a peer's exchange.
+// serveCrashes replies to an exchange of a peer.
 func (g *Gateway) serveCrashes(r *jsonrpc2.Request) (any, error) {
-	var told enginelink.Crashes
-	if err := wire.Decode(r, &told); err != nil {
+	var received enginelink.Crashes
+	if err := wire.Decode(r, &received); err != nil {
 		return nil, err
 	}
 	records, _ := g.crashes.Since(0, nil)
-	g.crashes.Merge(g, told.Records)
+	g.crashes.Merge(g, received.Records)
 	return enginelink.Crashes{Records: records}, nil
 }
--- a/gateway/crashsync_test.go
+++ b/gateway/crashsync_test.go
@@ -19,12 +19,12 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-var fatalPrint = crash.NewFingerprint([]byte("fatal"))
+var fatalFingerprint = crash.NewFingerprint([]byte("fatal"))
 
-// noteFatal notes so many ends of upstreams under one request at a gateway.
-func noteFatal(g *Gateway, ends int) {
-	for i := range ends {
-		g.crashes.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), fatalPrint)
+// addFatalCrashes records the given number of upstream crashes under one request at a gateway.
+func addFatalCrashes(g *Gateway, count int) {
+	for i := range count {
+		g.crashes.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), fatalFingerprint)
 	}
 }
 
@@ -56,91 +56,91 @@
 	defer stop()
 	first := f.addGateway(ctx, t, func(*Config) {})
 	eventually(t, func() bool { return len(first.engines.upLinks(boottime.Now())) == 3 })
-	noteFatal(first, 3)
+	addFatalCrashes(first, 3)
 	began := time.Now()
-	eventually(t, func() bool { return f.gateway.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return f.gateway.crashes.Judge(fatalFingerprint, 100).Refused })
 	assert.Assert(t, time.Since(began) < time.Second)
 	stop()
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	go func() { _ = f.gateway.ServePeers(t.Context(), peers) }()
-	later := f.addGateway(t.Context(), t, func(c *Config) { c.Store, c.Peers = downStore{}, []string{peers.Addr().String()} })
-	eventually(t, func() bool { return later.crashes.Judge(fatalPrint, 100).Refused })
-	told := false
-	for _, l := range later.engines.upLinks(boottime.Now()) {
-		records, _ := later.crashes.Since(0, l)
-		told = told || len(records) == 0
+	late := f.addGateway(t.Context(), t, func(c *Config) { c.Store, c.Peers = downStore{}, []string{peers.Addr().String()} })
+	eventually(t, func() bool { return late.crashes.Judge(fatalFingerprint, 100).Refused })
+	received := false
+	for _, l := range late.engines.upLinks(boottime.Now()) {
+		records, _ := late.crashes.Since(0, l)
+		received = received || len(records) == 0
 	}
-	assert.Assert(t, told, "by a controller")
+	assert.Assert(t, received, "the records did not come from a controller")
 }
 
-func TestCrashesReachGatewaysThroughTheStore(t *testing.T) {
-	kept := store.NewMemory()
-	lone := func(box string) *Gateway {
+func TestCrashesReachGatewaysThroughStore(t *testing.T) {
+	shared := store.NewMemory()
+	newGateway := func(box string) *Gateway {
 		g := New(Config{
 			Box: sandbarrow.BoxID(box), Documents: testDocuments{}, Headers: testNames, Instances: testInstances{}, Logger: slog.New(slog.DiscardHandler),
-			Metrics: prometheus.NewRegistry(), Store: kept,
+			Metrics: prometheus.NewRegistry(), Store: shared,
 		})
-		go func() { _ = newCrashKeeper(g).run(t.Context()) }()
+		go func() { _ = newCrashStore(g).run(t.Context()) }()
 		return g
 	}
-	a, b := lone("a"), lone("b")
-	noteFatal(a, 2)
-	eventually(t, func() bool { return b.crashes.Judge(fatalPrint, 100).Ends == 2 })
-	b.crashes.Note("u9", boottime.Now(), fatalPrint)
-	eventually(t, func() bool { return a.crashes.Judge(fatalPrint, 100).Refused })
-	c := lone("c")
-	eventually(t, func() bool { return c.crashes.Judge(fatalPrint, 100).Refused })
+	a, b := newGateway("a"), newGateway("b")
+	addFatalCrashes(a, 2)
+	eventually(t, func() bool { return b.crashes.Judge(fatalFingerprint, 100).Ends == 2 })
+	b.crashes.Note("u9", boottime.Now(), fatalFingerprint)
+	eventually(t, func() bool { return a.crashes.Judge(fatalFingerprint, 100).Refused })
+	c := newGateway("c")
+	eventually(t, func() bool { return c.crashes.Judge(fatalFingerprint, 100).Refused })
 
-	outdated := []byte(`{"fingerprint":"` + fatalPrint.String() + `","crashes":[{"upstream":"u1","age_ms":1}],"written":1000}`)
-	_, err := kept.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{crashPrefix + "old/gone": outdated, crashPrefix + "odd": []byte("{")}})
+	expired := []byte(`{"fingerprint":"` + fatalFingerprint.String() + `","crashes":[{"upstream":"u1","age_ms":1}],"written":1000}`)
+	_, err := shared.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{crashPrefix + "old/gone": expired, crashPrefix + "odd": []byte("{")}})
 	assert.NilError(t, err)
 	eventually(t, func() bool {
-		_, err := kept.Get(t.Context(), crashPrefix+"old/gone")
+		_, err := shared.Get(t.Context(), crashPrefix+"old/gone")
 		return err != nil
 	})
 }
 
 func TestCrashesAreRewrittenAfterStoreRestore(t *testing.T) {
-	kept := store.NewMemory()
-	empty := kept.Copy()
+	crashes := store.NewMemory()
+	empty := crashes.Copy()
 	g := New(Config{
 		Box: "a", Documents: testDocuments{}, Headers: testNames, Instances: testInstances{}, Logger: slog.New(slog.DiscardHandler),
-		Metrics: prometheus.NewRegistry(), Store: kept,
+		Metrics: prometheus.NewRegistry(), Store: crashes,
 	})
-	k := newCrashKeeper(g)
-	noteFatal(g, 2)
+	k := newCrashStore(g)
+	addFatalCrashes(g, 2)
 	stored := func() int {
-		items, at, err := kept.Range(t.Context(), crashPrefix)
+		items, at, err := crashes.Range(t.Context(), crashPrefix)
 		assert.NilError(t, err)
 		g.directory.Replace(nil, at)
 		return len(items)
 	}
-	k.keep(t.Context())
+	k.writeChanges(t.Context())
 	assert.Equal(t, stored(), 1)
-	kept.Restore(empty)
-	_, err := kept.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{"other": nil}})
+	crashes.Restore(empty)
+	_, err := crashes.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{"other": nil}})
 	assert.NilError(t, err)
 	assert.Equal(t, stored(), 0)
-	k.keep(t.Context())
+	k.writeChanges(t.Context())
 	assert.Equal(t, stored(), 1)
 }
 
-// Without controllers and without the store they learn it from their peers.
+// Without controllers and the store, gateways exchange crash records with their peers.
 func TestCrashesReachGatewaysThroughPeers(t *testing.T) {
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	known := newLoneGateway()
-	go func() { _ = known.ServePeers(t.Context(), peers) }()
-	noteFatal(known, 3)
+	informed := newLoneGateway()
+	go func() { _ = informed.ServePeers(t.Context(), peers) }()
+	addFatalCrashes(informed, 3)
 	other := newLoneGateway("127.0.0.1:1", peers.Addr().String())
 	go func() { _ = newCrashSync(other).run(t.Context()) }()
-	eventually(t, func() bool { return other.crashes.Judge(fatalPrint, 100).Refused })
-	other.crashes.Clear(fatalPrint)
-	eventually(t, func() bool { return !known.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return other.crashes.Judge(fatalFingerprint, 100).Refused })
+	other.crashes.Clear(fatalFingerprint)
+	eventually(t, func() bool { return !informed.crashes.Judge(fatalFingerprint, 100).Refused })
 }
 
-func TestRefusesWhatEndsUpstreams(t *testing.T) {
+func TestFatalRequestIsRefused(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.configure(t, plainRoute(route.KindUnsafe))
 	c := &call{gateway: f.gateway}
@@ -151,18 +151,18 @@
 	}
 	got := f.send(t.Context(), http.MethodPost, "/p/x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
-	assert.Equal(t, got.body, string(reasonEndsUpstreams)+"\n")
-	assert.Assert(t, len(got.header.Get("Retry-After")) > 2, "some minutes")
+	assert.Equal(t, got.body, string(reasonCrashesUpstreams)+"\n")
+	assert.Assert(t, len(got.header.Get("Retry-After")) > 2, "Retry-After is not some minutes")
 	assert.Equal(t, len(f.runners[0].runs())+len(f.runners[1].runs()), 0)
 	assert.Equal(t, f.send(t.Context(), http.MethodPost, "/p/y", nil).status, http.StatusOK)
 	f.gateway.crashes.Clear(c.fingerprint())
 	assert.Equal(t, f.send(t.Context(), http.MethodPost, "/p/x", nil).status, http.StatusOK)
 }
 
-// Repeats have the fingerprint of the first try; other bodies, models and workspaces differ.
-func TestFingerprintOfRepeats(t *testing.T) {
+// Requests with other bodies or models must not share a fingerprint with the retries.
+func TestRetriesHaveSameFingerprint(t *testing.T) {
 	g := newLoneGateway()
-	of := func(body, model, id, last string) crash.Fingerprint {
+	fingerprintOf := func(body, model, id, last string) crash.Fingerprint {
 		q, _ := http.NewRequest(http.MethodPost, "http://h/p", nil)
 		q.RequestURI = "/p"
 		q.Header.Set(testNames.Model, model)
@@ -173,7 +173,7 @@
 		c.request, c.body = q, []byte(body)
 		return c.fingerprint()
 	}
-	assert.Equal(t, of("b", "m/a", "1", ""), of("b", "m/a", "2", "7"))
-	assert.Assert(t, of("b", "m/a", "1", "") != of("c", "m/a", "1", ""))
-	assert.Assert(t, of("b", "m/a", "1", "") != of("b", "m/a2", "1", ""))
+	assert.Equal(t, fingerprintOf("b", "m/a", "1", ""), fingerprintOf("b", "m/a", "2", "7"))
+	assert.Assert(t, fingerprintOf("b", "m/a", "1", "") != fingerprintOf("c", "m/a", "1", ""))
+	assert.Assert(t, fingerprintOf("b", "m/a", "1", "") != fingerprintOf("b", "m/a2", "1", ""))
 }
--- a/gateway/enginecost.go
+++ b/gateway/enginecost.go
@@ -141,7 +141,7 @@
 func (e *candidate) estimateCost(n *requirements, f *fleetStats) bool {
 	speed := e.speed().ShrinkToward(f.speed)
 	move := e.planMove(n, f)
-	read := move + speed.TimeToFirstEvent(e.unread(n.tokens))
+	read := move + speed.TimeToFirstEvent(e.uncachedTokens(n.tokens))
 	e.cost += read
 	if e.remote {
 		e.cost += crossDomainPenalty
--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	// enginesPause is the pause between two looks at the list of upstreams.
-	enginesPause = 100 * time.Millisecond
-	// isolatedLeast is how many links must have been up for a gateway to be isolated: of fewer, all
-	// may be down for reasons of their own.
-	isolatedLeast = 3
-	// isolatedDown of isolatedOf links down make a gateway isolated.
-	isolatedDown = 4
-	isolatedOf   = 5
+	// linkUpdateInterval is the interval between two checks of the list of upstreams.
+	linkUpdateInterval = 100 * time.Millisecond
+	// minIsolationLinks is the number of links that must have been up before a gateway can count as
+	// isolated. Fewer links may all be down for independent reasons.
+	minIsolationLinks = 3
+	// A gateway is isolated if at least isolationNumerator/isolationDenominator of its links are
+	// down.
+	isolationNumerator   = 4
+	isolationDenominator = 5
 )
 
 // engines keeps a link to the controller of each engine.
@@ -36,8 +37,7 @@
 	links map[string]*controllerLink
 }
 
-// roster is the engines of one list of upstreams with their links. It is
-// immutable.
+// roster holds the engines of one list of upstreams with their links. It is immutable.
 type roster struct {
 	byService map[sandbarrow.ServiceID][]member
 	list      *directory.View
@@ -54,7 +54,7 @@
 	return &engines{gateway: g, links: map[string]*controllerLink{}}
 }
 
-// controllerAddress is where the controller of an engine listens.
+// controllerAddress returns the address of the controller of an engine.
 func (g *Gateway) controllerAddress(engine string) string {
 	host, _, err := net.SplitHostPort(engine)
 	if err != nil {
@@ -73,25 +73,25 @@
 // members returns the engines of a service under the list in force.
 func (e *engines) members(id sandbarrow.ServiceID) []member {
 	list := e.gateway.directory.View()
-	f := e.roster.Load()
-	if f == nil || f.list != list {
-		f = e.newRoster(list)
-		e.roster.Store(f)
+	r := e.roster.Load()
+	if r == nil || r.list != list {
+		r = e.newRoster(list)
+		e.roster.Store(r)
 	}
-	return f.byService[id]
+	return r.byService[id]
 }
 
 func (e *engines) newRoster(list *directory.View) *roster {
-	f := &roster{byService: map[sandbarrow.ServiceID][]member{}, list: list}
+	r := &roster{byService: map[sandbarrow.ServiceID][]member{}, list: list}
 	for _, in := range list.All() {
 		m := member{instance: in, link: e.link(in.Address)}
-		f.byService[in.Service] = append(f.byService[in.Service], m)
+		r.byService[in.Service] = append(r.byService[in.Service], m)
 	}
-	return f
+	return r
 }
 
-// isolated reports whether most links that were up are down: then it is this
-// gateway that is cut off, and callers fare better at another.
+// isolated reports whether most links that were up are down. In this case the gateway itself is cut
+// off, and callers are better served by another one.
 func (e *engines) isolated() bool {
 	now := boottime.Now()
 	known, down := 0, 0
@@ -109,14 +109,14 @@
 	return isIsolated(known, down)
 }
 
-// isIsolated decides whether a gateway is cut off, by the links that were ever up
-// and those of them that are down now.
+// isIsolated decides whether a gateway is cut off, from the number of links that were ever up and
+// the number of those that are down now.
 func isIsolated(known, down int) bool {
-	return known >= isolatedLeast && down*isolatedOf >= known*isolatedDown
+	return known >= minIsolationLinks && down*isolationDenominator >= known*isolationNumerator
 }
 
-// gateways is how many gateways there are, as the controllers see them; 0 while
-// no controller is linked.
+// gateways returns the number of gateways as reported by the controllers; 0 while no controller is
+// linked.
 func (e *engines) gateways() int {
 	now := boottime.Now()
 	e.mu.Lock()
@@ -130,9 +130,9 @@
 	return most
 }
 
-// typicalSpeed is the speed of an engine in the middle of those seen; zero where none
-// was. A controller that has just started begins with it.
-func (e *engines) typicalSpeed() readspeed.Speed {
+// medianSpeed returns the median prefill speed of the engines seen so far; zero if there is none. A
+// controller that has just started uses it as its first estimate.
+func (e *engines) medianSpeed() readspeed.Speed {
 	var seen []readspeed.Speed
 	e.mu.Lock()
 	for _, l := range e.links {
@@ -161,30 +161,30 @@
 	return false
 }
 
-// run keeps the links in line with the directory until ctx ends.
+// run updates the links from the directory until ctx ends.
 func (e *engines) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		e.adjust(ctx)
-		pause.For(ctx, enginesPause)
+		e.updateLinks(ctx)
+		pause.For(ctx, linkUpdateInterval)
 	}
 	return nil
 }
 
-func (e *engines) adjust(ctx context.Context) {
+func (e *engines) updateLinks(ctx context.Context) {
 	view := e.gateway.estate.View()
 	list := e.gateway.directory.View()
 	if view == nil || list == nil {
 		return
 	}
-	wanted := map[string]bool{}
+	needed := map[string]bool{}
 	for _, in := range list.All() {
 		if s := view.Table.Services[in.Service]; s != nil && s.Engine != nil {
-			wanted[e.gateway.controllerAddress(in.Address)] = true
+			needed[e.gateway.controllerAddress(in.Address)] = true
 		}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for address := range wanted {
+	for address := range needed {
 		if e.links[address] == nil {
 			linkCtx, cancel := context.WithCancel(ctx)
 			l := &controllerLink{address: address, cancel: cancel, gateway: e.gateway}
@@ -194,7 +194,7 @@
 		}
 	}
 	for address, l := range e.links {
-		if !wanted[address] && !l.up(boottime.Now()) {
+		if !needed[address] && !l.up(boottime.Now()) {
 			l.cancel()
 			delete(e.links, address)
 			e.roster.Store(nil)
--- a/gateway/enginesearch_test.go
+++ b/gateway/enginesearch_test.go
@@ -43,8 +43,8 @@
 	}
 	nameVersion("1", 2)
 	c := callFor(g, "a", 100)
-	c.ends, c.callerEnds = c.began.Add(time.Second), c.began.Add(time.Second)
-	c.version = c.leastVersion()
+	c.deadline, c.callerDeadline = c.began.Add(time.Second), c.began.Add(time.Second)
+	c.version = c.minVersion()
 	e := &candidate{instance: g.directory.View().Service(testEngines)[0]}
 	s := engineSearch{excluded: map[sandbarrow.InstanceID]bool{}}
 
@@ -53,7 +53,7 @@
 	assert.Assert(t, !pinned, "the operators have named version 2")
 	assert.Assert(t, s.isFirst() && s.acquires == 0, "the engine may be tried again")
 
-	c.version = c.leastVersion()
+	c.version = c.minVersion()
 	version, pinned := c.pinAt(t.Context(), &s, e)
 	assert.Assert(t, pinned)
 	assert.Equal(t, version, sandbarrow.AdapterVersion(2))
--- a/gateway/fingerprint.go
+++ b/gateway/fingerprint.go
@@ -2,9 +2,9 @@
 
 import "sandbarrow.example/sandbarrow/crash"
 
-// fingerprint identifies what the request asks for, and for whom: its route's host, method,
-// target and body, what an engine must hold and read for it, and the workspace of its key.
-// What differs between repeats stays out: the id, the deadline, the last event.
+// fingerprint identifies the content of the request and its workspace: the route's host, method,
+// target and body, the headers for the model, the prompt and its tokens, and the workspace of the
+// key. Values that differ between retries are left out: the id, the deadline and the last event.
 func (c *call) fingerprint() crash.Fingerprint {
 	if c.digest != nil {
 		return *c.digest
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -39,7 +39,7 @@
 	testHost    = "fleet.test"
 )
 
-// testNames are the header names of the test's fleet.
+// testNames are the header names of the test fleet.
 var testNames = sandbarrow.HeaderNames{
 	Deadline: "T-Deadline", ExpectInstance: "T-Instance-Wanted", ExpectVersion: "T-Version-Wanted", Instance: "T-Instance",
 	LastEvent: "Last-Event-Id", Model: "T-Model", MoveFrom: "T-Move-From", NotRun: "T-Not-Run", Priority: "T-Priority",
@@ -53,7 +53,7 @@
 type testTable struct {
 	Routes  []route.Route
 	Version uint64
-	// Workspaces is nil where callers need no key.
+	// Workspaces is nil if callers need no key.
 	Workspaces []access.Entry
 }
 
@@ -95,7 +95,7 @@
 	return in, json.Unmarshal(it.Value, &in)
 }
 
-// runner is a fake upstream. Its faults are set by the test.
+// runner is a fake upstream. Tests set its faults.
 type runner struct {
 	id      sandbarrow.InstanceID
 	server  *httptest.Server
@@ -104,31 +104,32 @@
 	mu           sync.Mutex
 	adapters     map[sandbarrow.AdapterID]sandbarrow.AdapterVersion
 	modelVersion sandbarrow.ModelVersion
-	// newest is what a load brings where the order names no version.
-	newest   sandbarrow.AdapterVersion
-	sequence uint64
-	// memory is what it keeps of prompts; peer finds another runner by its address.
-	memory testMemory
-	peer   func(address string) *runner
-	// ran lists the ids of requests that ran, got the headers of all that came.
+	// latestVersion is loaded by an order that names no version.
+	latestVersion sandbarrow.AdapterVersion
+	sequence      uint64
+	// promptCache holds its cached prompts; peer finds another runner by its address.
+	promptCache testMemory
+	peer        func(address string) *runner
+	// ran lists the ids of requests that ran, got the headers of all requests.
 	ran []string
 	got []http.Header
-	// cutAfter breaks streams off after so many events; -1 never.
+	// cutAfter cuts streams off after this number of events; -1 never does.
 	cutAfter int
-	// hang keeps requests without an answer.
+	// hang leaves requests without a response.
 	hang bool
-	// announced is what it says of itself in each answer, as says names the instance that answers.
-	announced sandbarrow.AnnouncementTexts
-	says      string
-	// refuse answers that requests did not run, status is the answer of others.
+	// notice is sent in each response. claimedInstance is the instance that the response names.
+	notice          sandbarrow.AnnouncementTexts
+	claimedInstance string
+	// refuse makes responses say that the request did not run. status is the status of other
+	// responses.
 	refuse bool
 	status int
-	// left counts callers that went away while a request hung.
-	left int
+	// cancelled counts callers that disconnected while their request hung.
+	cancelled int
 }
 
 func newRunner(id string, service sandbarrow.ServiceID) *runner {
-	r := &runner{id: sandbarrow.InstanceID(id), service: service, cutAfter: -1, modelVersion: 1, newest: 1, status: http.StatusOK,
+	r := &runner{id: sandbarrow.InstanceID(id), service: service, cutAfter: -1, modelVersion: 1, latestVersion: 1, status: http.StatusOK,
 		adapters: map[sandbarrow.AdapterID]sandbarrow.AdapterVersion{}}
 	r.server = httptest.NewServer(r)
 	return r
@@ -155,14 +156,14 @@
 	r.mu.Lock()
 	r.got = append(r.got, q.Header.Clone())
 	_, adapter, _ := strings.Cut(q.Header.Get(testNames.Model), "/")
-	version, held := r.adapters[sandbarrow.AdapterID(adapter)]
-	wanted := q.Header.Get(testNames.ExpectVersion)
+	version, loaded := r.adapters[sandbarrow.AdapterID(adapter)]
+	expected := q.Header.Get(testNames.ExpectVersion)
 	misdirected := q.Header.Get(testNames.ExpectInstance) != string(r.id) ||
-		adapter != "" && (!held || wanted != "" && wanted != strconv.FormatUint(uint64(version), 10))
+		adapter != "" && (!loaded || expected != "" && expected != strconv.FormatUint(uint64(version), 10))
 	refuse, hang, status, cut := r.refuse, r.hang, r.status, r.cutAfter
-	platform.Announcements{}.Write(w.Header(), r.announced)
-	if r.says != "" {
-		w.Header().Set(testNames.Instance, r.says)
+	platform.Announcements{}.Write(w.Header(), r.notice)
+	if r.claimedInstance != "" {
+		w.Header().Set(testNames.Instance, r.claimedInstance)
 	}
 	if !misdirected && !refuse {
 		r.ran = append(r.ran, id)
@@ -177,7 +178,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case hang:
 		<-q.Context().Done()
-		r.set(func() { r.left++ })
+		r.set(func() { r.cancelled++ })
 	case adapter == "":
 		w.Header().Set(testNames.Signature, "signed-"+string(r.id))
 		w.WriteHeader(status)
@@ -190,8 +191,8 @@
 	}
 }
 
-// usePrompt takes what another engine keeps of a prompt, where the request names one, and
-// runs the prompt on it. The caller holds mu.
+// usePrompt copies the cached prompt from another engine if the request names one, and runs the
+// prompt with it. The caller holds mu.
 func (r *runner) usePrompt(h http.Header, w testWeights) {
 	var parts []string
 	if list := h.Get(testNames.Prompt); list != "" {
@@ -200,10 +201,10 @@
 	if from := h.Get(testNames.MoveFrom); from != "" {
 		source := r.peer(from)
 		source.mu.Lock()
-		r.memory.copyFrom(&source.memory, parts)
+		r.promptCache.copyFrom(&source.promptCache, parts)
 		source.mu.Unlock()
 	}
-	r.memory.run(w, parts)
+	r.promptCache.run(w, parts)
 }
 
 func (r *runner) stream(w http.ResponseWriter, q *http.Request, cut int) {
@@ -246,13 +247,13 @@
 		delete(r.adapters, o.Adapter)
 		return true, nil
 	}
-	r.adapters[o.Adapter] = max(r.newest, o.Version)
+	r.adapters[o.Adapter] = max(r.latestVersion, o.Version)
 	return false, nil
 }
 
 // fleet is a gateway with runners and controllers in one process.
 type fleet struct {
-	// addresses has the engines by their addresses; it is complete before the first request.
+	// addresses maps addresses to engines; it is complete before the first request.
 	addresses map[string]*runner
 	gateway   *Gateway
 	runners   []*runner
@@ -264,14 +265,14 @@
 	workspaces []access.Entry
 }
 
-// newFleet starts engines, on loopback addresses of their own so that their
-// controllers can share a port, and plain services.
+// newFleet starts engines and plain services. Each engine has its own loopback address, so that the
+// controllers can share a port.
 func newFleet(t *testing.T, engines, plain int) *fleet {
 	t.Helper()
 	return newFleetWith(t, engines, plain, func(*Config) {})
 }
 
-// newFleetWith starts a fleet whose gateway has a changed configuration.
+// newFleetWith starts a fleet with a changed gateway configuration.
 func newFleetWith(t *testing.T, engines, plain int, change func(*Config)) *fleet {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -280,10 +281,10 @@
 	links, port := listenOnOnePort(t, engines)
 	for i := range engines {
 		r := newRunner(fmt.Sprintf("engine-%d", i), testEngines)
-		moved, err := net.Listen("tcp", engineHost(i)+":0")
+		engineListener, err := net.Listen("tcp", engineHost(i)+":0")
 		assert.NilError(t, err)
-		address := moved.Addr().String()
-		go func() { _ = http.Serve(moved, r) }()
+		address := engineListener.Addr().String()
+		go func() { _ = http.Serve(engineListener, r) }()
 		k := controller.New(controller.Config{
 			Box: sandbarrow.BoxID(fmt.Sprintf("box-%d", i)), Control: r, Documents: testDocuments{}, Engine: address, Logger: logger,
 			LeaseStore: f.store, Metrics: prometheus.NewRegistry(), Service: testEngines, Store: f.store,
@@ -291,7 +292,7 @@
 		})
 		go func() { _ = k.Run(ctx) }()
 		go func() { _ = k.Serve(ctx, links[i]) }()
-		t.Cleanup(func() { _ = moved.Close() })
+		t.Cleanup(func() { _ = engineListener.Close() })
 		r.peer = f.runnerAt
 		f.addresses[address] = r
 		f.list(t, r, address, false)
@@ -325,13 +326,13 @@
 	return f
 }
 
-// engineHost is the loopback address of an engine's box.
+// engineHost returns the loopback address of an engine's box.
 func engineHost(i int) string {
 	return fmt.Sprintf("127.0.0.%d", 11+i)
 }
 
-// listenOnOnePort listens on the addresses of all boxes on the same port. A port that is
-// free on the first one may be in use on another, by a test that runs at the same time.
+// listenOnOnePort listens on the same port of the addresses of all boxes. A port that is free on
+// the first address may be used on another by a test that runs at the same time.
 func listenOnOnePort(t *testing.T, boxes int) ([]net.Listener, string) {
 	t.Helper()
 	for {
@@ -376,12 +377,12 @@
 	assert.NilError(t, err)
 }
 
-func (f *fleet) list(t *testing.T, r *runner, address string, leaving bool) {
+func (f *fleet) list(t *testing.T, r *runner, address string, draining bool) {
 	t.Helper()
-	f.put(t, "up/"+string(r.id), sandbarrow.Instance{Address: address, ID: r.id, Draining: leaving, Service: r.service, Slots: 4})
+	f.put(t, "up/"+string(r.id), sandbarrow.Instance{Address: address, ID: r.id, Draining: draining, Service: r.service, Slots: 4})
 }
 
-// configure puts routes in force and waits until the gateway has them.
+// configure stores routes and waits until they are in force at the gateway.
 func (f *fleet) configure(t *testing.T, routes ...route.Route) {
 	t.Helper()
 	f.version++
@@ -404,7 +405,7 @@
 
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
-	await.Until(t, 10*time.Second, "what is awaited", ok)
+	await.Until(t, 10*time.Second, "the expected condition", ok)
 }
 
 func plainRoute(kind route.Kind) route.Route {
@@ -421,8 +422,8 @@
 	}
 }
 
-// reply is an answer as the caller got it.
-type reply struct {
+// testResponse is a response as the caller received it.
+type testResponse struct {
 	body   string
 	err    error
 	header http.Header
@@ -430,10 +431,10 @@
 }
 
 // send sends one request of a caller.
-func (f *fleet) send(ctx context.Context, method, path string, header map[string]string) reply {
+func (f *fleet) send(ctx context.Context, method, path string, header map[string]string) testResponse {
 	q, err := http.NewRequestWithContext(ctx, method, f.url+path, strings.NewReader("body"))
 	if err != nil {
-		return reply{err: err}
+		return testResponse{err: err}
 	}
 	q.Host = testHost
 	q.Header.Set(testNames.RequestID, "r1")
@@ -443,9 +444,9 @@
 	}
 	response, err := http.DefaultTransport.RoundTrip(q)
 	if err != nil {
-		return reply{err: err}
+		return testResponse{err: err}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return reply{body: string(body), err: err, header: response.Header, status: response.StatusCode}
+	return testResponse{body: string(body), err: err, header: response.Header, status: response.StatusCode}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,20 +1,20 @@
-// Package gateway is the process between callers and upstreams on the users'
-// platform: it matches a request to a route, chooses an upstream, sends the request
-// there and passes the answer on unaltered.
+// Package gateway is the process between callers and upstreams on the users' platform. It matches a
+// request to a route, chooses an upstream, sends the request there and passes the response on
+// unaltered.
 //
-// It owns callers' connections, the choice of an upstream, retries, continued
-// streams and the answer. It relies on the operators' state (package estate) and
-// the list of upstreams (package directory), both brought by watches of the
-// platform's store, and on the controllers beside the engines, which pin adapters
-// and report what each engine holds (package enginelink). Nothing it knows outlives
-// the process.
+// It owns the callers' connections, the choice of an upstream, retries, resumed streams and the
+// response. It depends on the operators' state (package estate) and the list of upstreams (package
+// directory), which both come from watches of the platform's store. It also depends on the
+// controllers beside the engines, which pin adapters and report what each engine has loaded
+// (package enginelink). It keeps no state across restarts of the process.
 //
-// The rules, each in a file of its own: choose.go and enginecost.go (which engine),
-// serveplain.go (which plain upstream), earlyrefusal.go (who is refused at once),
-// retryrule.go and retrybudget.go (what is sent again, and when it is given up),
-// endsupstreams.go (what is sent to no upstream any more), callsend.go (which upstreams
-// accept a request now, by package availability), progress.go (which stream is stalled), priority.go (what an engine reads first),
-// engines.go (when this gateway is cut off), stop.go (a planned stop). docs/DECISIONS.md lists them by question.
+// Each rule has a file of its own: choose.go and enginecost.go (choice of an engine), serveplain.go
+// (choice of a plain upstream), earlyrefusal.go (requests refused on arrival), retryrule.go (which
+// requests are retried, and when a call fails; package retry has the budgets), fatalrequest.go
+// (requests that crash upstreams), callsend.go (upstreams that accept a request now, by package
+// availability), progress.go (stalled streams), priority.go (order in which an engine prefills
+// prompts), engines.go (isolation of this gateway), stop.go (planned stop). docs/DECISIONS.md lists
+// them by question.
 package gateway
 
 import (
@@ -42,24 +42,25 @@
 )
 
 const (
-	// startTime is how long after a start upstreams may not be listed yet: longer than an
-	// upstream needs to list itself again after a loss of all power.
-	startTime = 4 * time.Second
-	// listingTime is how long after a new upstream others are likely to follow (calls to
-	// the store after a start).
-	listingTime = 700 * time.Millisecond
-	// headerTimeout bounds the arrival of a request's head.
+	// startupTime is the time after a start during which upstreams may not be listed yet. It is
+	// longer than an upstream needs to list itself again after a loss of all power.
+	startupTime = 4 * time.Second
+	// listingInterval is the time after a new upstream within which others are likely to follow. It
+	// covers the store calls after a start.
+	listingInterval = 700 * time.Millisecond
+	// headerTimeout bounds the arrival of a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout bounds how long a caller's connection is idle where the operators name no time.
+	// idleTimeout is the longest time that a caller's connection may be idle if the operators set
+	// none.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes is the technical bound of a request's head; the operators' limit
-	// is checked too. Four times the limits seen.
+	// maxHeaderBytes is the technical bound of a request's header; the operators' limit is checked
+	// in addition. It is four times the largest limit seen.
 	maxHeaderBytes = 64 << 10
 )
 
-// Config is what a Gateway needs.
+// Config is the configuration of a Gateway.
 type Config struct {
-	// Announcements reads what upstreams say of themselves in their answers.
+	// Announcements reads the notices of upstreams in their responses.
 	Announcements sandbarrow.AnnouncementReader
 	// AcceptAfterStop is how long a stopping gateway accepts new connections.
 	AcceptAfterStop time.Duration
@@ -70,23 +71,23 @@
 	Box            sandbarrow.BoxID
 	Headers        sandbarrow.HeaderNames
 	Instances      sandbarrow.InstanceList
-	// LeaveBound is how soon a draining upstream must get nothing new.
+	// LeaveBound is the time after which a draining upstream must get no new requests.
 	LeaveBound time.Duration
 	Logger     *slog.Logger
 	Metrics    prometheus.Registerer
-	// PeerAddress is where peers reach this gateway.
+	// PeerAddress is the address of this gateway for its peers.
 	PeerAddress string
 	// Peers are addresses of other gateways; some may be stale or down.
 	Peers []string
-	// RetryShare is the share of a service's requests that all gateways together
-	// may send again, RetrySlack how many more within the users' window.
+	// RetryShare is the share of a service's requests that all gateways together may retry,
+	// RetrySlack the number of additional retries within the users' window.
 	RetryShare, RetrySlack float64
-	// RevokeBound is how soon after its withdrawal a key must not be served any more; 0
-	// serves callers by the last configuration known.
+	// RevokeBound is the time after which a revoked key must no longer be accepted. With 0, callers
+	// are served by the last known configuration.
 	RevokeBound time.Duration
 	StopGrace   time.Duration
 	Store       sandbarrow.PrefixStore
-	// TableStore is asked whether the table of routes is the newest one; nil where
+	// TableStore is queried to confirm that the table of routes is the newest one; nil if
 	// RevokeBound is 0.
 	TableStore estate.Reader
 }
@@ -97,11 +98,11 @@
 	budgets   *retry.ServiceBudgets
 	crashes   *crash.Log
 	directory *directory.Directory
-	ends      *upstreamEnds
+	exits     *exitDetector
 	engines   *engines
 	estate    *estate.Estate
-	leads     *quotaLeads
-	list      *listAnswer
+	leaders   *quotaLeaders
+	listReply *encodedList
 	loadTimes *loadtime.Estimator
 	logger    *slog.Logger
 	metrics   *metrics
@@ -129,8 +130,8 @@
 		pools:     map[sandbarrow.InstanceID]*forward.Pool{},
 	}
 	g.engines = newEngines(g)
-	g.ends = newUpstreamEnds(g)
-	g.leads = newQuotaLeads(g)
+	g.exits = newExitDetector(g)
+	g.leaders = newQuotaLeaders(g)
 	g.permits = newSendPermits(g)
 	g.upstreams = &upstreams{gateway: g, waiting: map[sandbarrow.InstanceID]map[*call]func(){}}
 	c.Metrics.MustRegister(
@@ -159,22 +160,22 @@
 			Name: "sandbarrow_gateway_configuration_confirmed_seconds", Help: "Time since the configuration in force was known to be the newest; -1 where it never was.",
 		}, g.confirmedSeconds),
 	)
-	g.list = &listAnswer{directory: g.directory}
+	g.listReply = &encodedList{directory: g.directory}
 	return g
 }
 
-// Ready reports whether the balancer may send new connections.
+// Ready reports whether the load balancer may send new connections.
 func (g *Gateway) Ready() bool {
 	return g.stopping.Load() == nil && g.estate.View() != nil && g.directory.View() != nil && !g.engines.isolated() && g.trusts(boottime.Now())
 }
 
-// Run serves callers on listener until ctx ends and a planned stop is over.
+// Run serves callers on listener until ctx ends and the planned stop is complete.
 func (g *Gateway) Run(ctx context.Context, listener net.Listener) error {
 	work, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	server := &http.Server{
 		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: newIdleCloser(g.idleBound).note, ErrorLog: slog.NewLogLogger(g.logger.Handler(), slog.LevelDebug),
+		ConnState: newIdleCloser(g.idleBound).trackState, ErrorLog: slog.NewLogLogger(g.logger.Handler(), slog.LevelDebug),
 	}
 	var group errgroup.Group
 	estateWatch := prefixwatch.Watch{
@@ -182,13 +183,13 @@
 	}
 	group.Go(func() error { return estateWatch.Run(work) })
 	group.Go(func() error { return g.listWatch().Run(work) })
-	group.Go(func() error { return g.ends.run(work) })
+	group.Go(func() error { return g.exits.run(work) })
 	group.Go(func() error { return newCrashSync(g).run(work) })
-	group.Go(func() error { return newCrashKeeper(g).run(work) })
+	group.Go(func() error { return newCrashStore(g).run(work) })
 	group.Go(func() error { return g.engines.run(work) })
-	group.Go(func() error { return g.learnFromPeers(work) })
-	group.Go(func() error { return g.leads.run(work) })
-	group.Go(func() error { return g.permits.keepers.Run(work) })
+	group.Go(func() error { return g.syncFromPeers(work) })
+	group.Go(func() error { return g.leaders.run(work) })
+	group.Go(func() error { return g.permits.coordinators.Run(work) })
 	group.Go(func() error { return g.confirmLoop(work) })
 	group.Go(func() error {
 		defer end()
@@ -201,8 +202,8 @@
 	return group.Wait()
 }
 
-// idleBound is how long the operators let a caller's connection be idle; 0 where
-// they name no time.
+// idleBound returns the operators' bound on the idle time of a caller's connection; 0 if they set
+// none.
 func (g *Gateway) idleBound() time.Duration {
 	view := g.estate.View()
 	if view == nil {
@@ -211,11 +212,10 @@
 	return view.Table.Limits.IdleTimeout
 }
 
-// awaitsUpstreams reports whether the list of upstreams is likely incomplete:
-// after a start while new ones are listed one after the other, or while a
-// service has none.
-func (g *Gateway) awaitsUpstreams() bool {
-	if boottime.Since(g.started) < startTime && boottime.Since(g.directory.LastNew()) < listingTime {
+// expectsUpstreams reports whether the list of upstreams is probably incomplete. This is so after a
+// start while upstreams are still being listed, and while a service has none.
+func (g *Gateway) expectsUpstreams() bool {
+	if boottime.Since(g.started) < startupTime && boottime.Since(g.directory.LastNew()) < listingInterval {
 		return true
 	}
 	view := g.estate.View()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -25,7 +25,7 @@
 	return b.String()
 }
 
-func TestPlainAnswerIsUnaltered(t *testing.T) {
+func TestPlainResponseIsUnaltered(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.configure(t, plainRoute(route.KindSafe))
 	got := f.send(t.Context(), http.MethodPut, "/p/a%2Fb/?q=%20x&y", map[string]string{"X-Other": "kept", "Connection": "X-Dropped", "X-Dropped": "1"})
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	f.configure(t, plainRoute(route.KindUnsafe))
 	for name, tc := range map[string]struct {
@@ -69,8 +69,8 @@
 	assert.Equal(t, len(f.runners[0].runs()), 0)
 }
 
-// Without a configuration the answer is 503, soon, with when to come back.
-func TestNoConfiguration(t *testing.T) {
+// The response is a 503 with Retry-After.
+func TestRefusalWithoutConfigurationIsFast(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	began := time.Now()
 	got := f.send(t.Context(), http.MethodGet, "/p/", nil)
@@ -80,22 +80,22 @@
 	assert.Assert(t, !f.gateway.Ready())
 }
 
-// What happens to a request whose first upstream fails it.
-func TestFailuresOfPlainServices(t *testing.T) {
+// Checks the response to a request whose first upstream fails, and how often the request ran.
+func TestPlainServiceFailures(t *testing.T) {
 	for name, tc := range map[string]struct {
 		kind   route.Kind
 		fault  func(r *runner)
 		status int
-		// runs is how often the request ran, with two upstreams of the same fault.
+		// runs is how often the request ran. Both upstreams have the same fault.
 		runs int
 	}{
-		"safe, refused":          {route.KindSafe, func(r *runner) { r.refuse = true }, http.StatusServiceUnavailable, 0},
-		"unsafe, refused":        {route.KindUnsafe, func(r *runner) { r.refuse = true }, http.StatusServiceUnavailable, 0},
-		"safe, failing":          {route.KindSafe, func(r *runner) { r.status = 500 }, http.StatusInternalServerError, 2},
-		"unsafe, failing":        {route.KindUnsafe, func(r *runner) { r.status = 500 }, http.StatusInternalServerError, 1},
-		"safe, without end":      {route.KindSafe, func(r *runner) { r.hang = true }, http.StatusGatewayTimeout, 2},
-		"unsafe, without end":    {route.KindUnsafe, func(r *runner) { r.hang = true }, http.StatusGatewayTimeout, 1},
-		"unsafe, client's fault": {route.KindUnsafe, func(r *runner) { r.status = 400 }, http.StatusBadRequest, 1},
+		"safe, refused":        {route.KindSafe, func(r *runner) { r.refuse = true }, http.StatusServiceUnavailable, 0},
+		"unsafe, refused":      {route.KindUnsafe, func(r *runner) { r.refuse = true }, http.StatusServiceUnavailable, 0},
+		"safe, failing":        {route.KindSafe, func(r *runner) { r.status = 500 }, http.StatusInternalServerError, 2},
+		"unsafe, failing":      {route.KindUnsafe, func(r *runner) { r.status = 500 }, http.StatusInternalServerError, 1},
+		"safe, hanging":        {route.KindSafe, func(r *runner) { r.hang = true }, http.StatusGatewayTimeout, 2},
+		"unsafe, hanging":      {route.KindUnsafe, func(r *runner) { r.hang = true }, http.StatusGatewayTimeout, 1},
+		"unsafe, client error": {route.KindUnsafe, func(r *runner) { r.status = 400 }, http.StatusBadRequest, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 0, 2)
@@ -112,8 +112,8 @@
 	}
 }
 
-// A safe request whose first upstream hangs is answered by another.
-func TestSafeRequestGoesElsewhere(t *testing.T) {
+// The request must be retried at the other upstream.
+func TestSafeRequestIsServedDespiteHangingUpstream(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.configure(t, plainRoute(route.KindSafe))
 	f.runners[0].set(func() { f.runners[0].hang = true })
@@ -132,8 +132,8 @@
 	assert.Equal(t, got.body, allEvents())
 }
 
-// The version that the operators named runs, though an older one is loaded.
-func TestNamedVersionRuns(t *testing.T) {
+// An engine with an older version loaded must load the named version first.
+func TestNamedVersionRunsInsteadOfLoadedOlderOne(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	f.configure(t, streamRoute(true))
 	assert.Equal(t, f.send(t.Context(), http.MethodPost, "/s/", adapterHeader).status, http.StatusOK)
@@ -155,23 +155,23 @@
 	assert.Equal(t, last, "7")
 }
 
-func TestBrokenStream(t *testing.T) {
+func TestBrokenStreamIsResumedOrAborted(t *testing.T) {
 	for name, tc := range map[string]struct {
 		resumable bool
 		cutAfter  int
 	}{
-		"resumed in the middle":    {true, 2},
-		"resumed before the first": {true, 0},
-		"not resumed":              {false, 2},
+		"resumed in the middle":          {true, 2},
+		"resumed before the first event": {true, 0},
+		"not resumed":                    {false, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 0)
 			f.configure(t, streamRoute(tc.resumable))
-			// One engine breaks streams off, whichever is asked first.
-			var once sharedOnce
+			// The engine that is chosen first cuts the stream off; the other one is healed.
+			var healer engineHealer
 			for _, r := range f.runners {
 				r.set(func() { r.cutAfter = tc.cutAfter })
-				go once.healOther(t.Context(), r, f.runners)
+				go healer.healOther(t.Context(), r, f.runners)
 			}
 			got := f.send(t.Context(), http.MethodPost, "/s/", adapterHeader)
 			if tc.resumable {
@@ -179,20 +179,20 @@
 				assert.Equal(t, got.body, allEvents())
 				return
 			}
-			assert.Assert(t, got.err != nil, "a cut answer looked whole")
+			assert.Assert(t, got.err != nil, "a cut response looked complete")
 			assert.Equal(t, len(f.runners[0].runs())+len(f.runners[1].runs()), 1)
 		})
 	}
 }
 
-func TestFailingEngine(t *testing.T) {
+func TestEngineFailureIsRetriedIfResumable(t *testing.T) {
 	for name, tc := range map[string]struct {
 		resumable, heal bool
 		status, runs    int
 	}{
-		"resumable":          {true, true, http.StatusOK, 2},
-		"resumable, all":     {true, false, http.StatusInternalServerError, 2},
-		"not to be repeated": {false, true, http.StatusInternalServerError, 1},
+		"resumable":              {true, true, http.StatusOK, 2},
+		"resumable, all failing": {true, false, http.StatusInternalServerError, 2},
+		"not resumable":          {false, true, http.StatusInternalServerError, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, 0)
@@ -200,7 +200,7 @@
 			for _, r := range f.runners {
 				r.set(func() { r.status = http.StatusInternalServerError })
 				if tc.heal {
-					go sharedOnce{}.healOther(t.Context(), r, f.runners)
+					go engineHealer{}.healOther(t.Context(), r, f.runners)
 				}
 			}
 			got := f.send(t.Context(), http.MethodPost, "/s/", adapterHeader)
@@ -212,10 +212,10 @@
 	}
 }
 
-// sharedOnce heals the engine that was not asked first.
-type sharedOnce struct{}
+// engineHealer heals the engine that was not chosen first.
+type engineHealer struct{}
 
-func (sharedOnce) healOther(ctx context.Context, r *runner, all []*runner) {
+func (engineHealer) healOther(ctx context.Context, r *runner, all []*runner) {
 	for ctx.Err() == nil {
 		if len(r.runs()) > 0 {
 			for _, other := range all {
@@ -229,8 +229,8 @@
 	}
 }
 
-// A caller that leaves ends the work of its upstream at once.
-func TestCallerLeaves(t *testing.T) {
+// The upstream would otherwise go on working on a request that nobody waits for.
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	f.configure(t, plainRoute(route.KindUnsafe))
 	f.runners[0].set(func() { f.runners[0].hang = true })
@@ -241,12 +241,11 @@
 	eventually(t, func() bool {
 		f.runners[0].mu.Lock()
 		defer f.runners[0].mu.Unlock()
-		return f.runners[0].left == 1
+		return f.runners[0].cancelled == 1
 	})
 }
 
-// An upstream that leaves gets no new work.
-func TestLeavingUpstreamGetsNothing(t *testing.T) {
+func TestDrainingUpstreamGetsNoRequests(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.configure(t, plainRoute(route.KindSafe))
 	f.list(t, f.runners[0], f.runners[0].server.Listener.Addr().String(), true)
@@ -260,7 +259,7 @@
 	assert.Equal(t, len(f.runners[0].runs()), before)
 }
 
-func TestPlannedStop(t *testing.T) {
+func TestPlannedStopServesRequestsUntilUnready(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	f.configure(t, plainRoute(route.KindSafe))
 	assert.Assert(t, f.gateway.Ready())
@@ -270,8 +269,8 @@
 	assert.Equal(t, got.status, http.StatusOK)
 }
 
-// A moved route is in force for the next request; the gateway needs no restart.
-func TestMovedRoute(t *testing.T) {
+// The changed route must be in force for the next request.
+func TestRouteChangeNeedsNoRestart(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.configure(t, plainRoute(route.KindSafe))
 	assert.Equal(t, f.send(t.Context(), http.MethodGet, "/q/", nil).status, http.StatusNotFound)
--- a/gateway/idle.go
+++ b/gateway/idle.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// idleCloser closes callers' connections that are idle for longer than the
-// operators allow. The bound is read when a connection becomes idle, since operators
-// may change it at any time.
+// idleCloser closes callers' connections that are idle for longer than the operators allow. It
+// reads the bound whenever a connection becomes idle, because operators may change it at any time.
 type idleCloser struct {
-	// bound is how long a connection may be idle; 0 leaves it to the server.
+	// bound returns how long a connection may be idle; with 0, the server's own timeout applies.
 	bound func() time.Duration
 
 	mu     sync.Mutex
@@ -22,8 +21,8 @@
 	return &idleCloser{bound: bound, timers: map[net.Conn]*time.Timer{}}
 }
 
-// note follows the state of a connection; it is an http.Server's ConnState.
-func (i *idleCloser) note(c net.Conn, s http.ConnState) {
+// trackState follows the state of a connection; it is an http.Server's ConnState.
+func (i *idleCloser) trackState(c net.Conn, s http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if timer := i.timers[c]; timer != nil {
@@ -46,5 +45,5 @@
 		return
 	}
 	delete(i.timers, c)
-	_ = c.Close() // the caller may have closed it meanwhile
+	_ = c.Close() // the caller may have closed it already
 }
--- a/gateway/idle_test.go
+++ b/gateway/idle_test.go
@@ -18,19 +18,19 @@
 	return !ok || !timeout.Timeout()
 }
 
-func TestIdleCloser(t *testing.T) {
+func TestIdleConnectionIsClosedAfterBound(t *testing.T) {
 	bound := 50 * time.Millisecond
 	i := newIdleCloser(func() time.Duration { return bound })
 	near, far := net.Pipe()
-	i.note(near, http.StateIdle)
-	i.note(near, http.StateActive)
-	assert.Assert(t, !closedWithin(t, far, 3*bound), "a connection at work was closed")
-	i.note(near, http.StateIdle)
+	i.trackState(near, http.StateIdle)
+	i.trackState(near, http.StateActive)
+	assert.Assert(t, !closedWithin(t, far, 3*bound), "an active connection was closed")
+	i.trackState(near, http.StateIdle)
 	assert.Assert(t, closedWithin(t, far, 2*time.Second))
-	i.note(near, http.StateClosed)
+	i.trackState(near, http.StateClosed)
 	assert.Equal(t, len(i.timers), 0)
 	bound = 0
 	near, far = net.Pipe()
-	i.note(near, http.StateIdle)
+	i.trackState(near, http.StateIdle)
 	assert.Assert(t, !closedWithin(t, far, 100*time.Millisecond))
 }
--- a/gateway/jitter.go
+++ b/gateway/jitter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// jitter spreads a pause by a half to both sides.
+// jitter returns a random duration between 50 % and 150 % of d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -15,50 +15,50 @@
 	"sandbarrow.example/sandbarrow/recall"
 )
 
-// linkState is what a gateway knows of one engine and its controller. It is safe
-// for concurrent use; reconnect and methods whose name ends in Locked want mu held.
+// linkState is the state of one engine and its controller as last reported. It is safe for
+// concurrent use. The caller of reconnect and of methods whose name ends in Locked must hold mu.
 type linkState struct {
 	mu sync.Mutex
-	// kept is what the engine keeps of the prompts it has read.
-	kept promptcache.Mirror
+	// cached mirrors the prompt cache of the engine.
+	cached promptcache.Mirror
 	// lastContact is when the link came up or the last status arrived.
-	lastContact time.Time
-	memory      recall.Memory
-	// instance is the last start of the engine that its controller has named.
+	lastContact  time.Time
+	engineMemory recall.Memory
+	// instance is the last instance of the engine that its controller has reported.
 	instance sandbarrow.InstanceID
 	// rpc is nil while the link is down.
 	rpc    *jsonrpc2.Conn
 	status enginelink.Status
-	// ownTokens are this gateway's prompt tokens that were asked for here and whose
-	// answer has not begun; countedTokens is the part that the last status counts.
+	// ownTokens are the prompt tokens of this gateway's requests whose response has not begun.
+	// countedTokens are those of them that the last status includes.
 	ownTokens, countedTokens enginelink.Waiting
-	// pins are reported to the controller whenever its link comes up again.
+	// pins are reported to the controller whenever its link reconnects.
 	pins map[sandbarrow.RequestID]*enginelink.Acquire
 }
 
-// linkView is one look at an engine on behalf of a request.
+// linkView is a snapshot of an engine for one request.
 type linkView struct {
-	// kept is how many tokens of the prompt the engine keeps.
-	kept int
-	// linked says that the controller is linked and has reported what the engine holds.
+	// cached is the number of prompt tokens that the engine has cached.
+	cached int
+	// linked is set if the controller is linked and has reported what the engine has loaded.
 	linked bool
-	// recallable says that the engine's own memory should hold the adapter.
+	// recallable is set if the adapter should be in the engine's own memory.
 	recallable bool
 	status     enginelink.Status
-	// waitingTokens estimates the prompt tokens that the request would wait for there.
+	// waitingTokens estimates the prompt tokens that the request would wait for at the engine.
 	waitingTokens int
-	// weights are the versions with which the engine would run the request now; zero where
-	// it has not loaded the adapter, or they are not known.
+	// weights are the versions with which the engine would run the request now. They are zero if
+	// the engine has not loaded the adapter, or if they are unknown.
 	weights sandbarrow.WeightsVersion
 }
 
-// report is what the engine's controller has reported last.
+// report returns the last report of the engine's controller.
 func (v *linkView) report() availability.Report {
 	return reportOf(&v.status, v.linked)
 }
 
-// reportOf is what a controller's status says of whether its engine accepts requests; nothing
-// where the controller is not linked.
+// reportOf returns what a controller's status says about whether its engine accepts requests. It is
+// empty if the controller is not linked.
 func reportOf(s *enginelink.Status, linked bool) availability.Report {
 	if !linked {
 		return availability.Report{}
@@ -66,7 +66,7 @@
 	return availability.Report{Draining: s.Draining, Instance: s.Instance, Unreachable: s.EngineUnreachable}
 }
 
-// view looks at the engine on behalf of a call. A nil link is not linked.
+// view takes a snapshot of the engine for a call. A nil link is not linked.
 func (l *controllerLink) view(now time.Time, c *call) linkView {
 	if l == nil {
 		return linkView{}
@@ -74,21 +74,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := linkView{
-		linked: l.usableLocked(now), recallable: l.memory.Has(c.key, c.version), status: l.status,
+		linked: l.usableLocked(now), recallable: l.engineMemory.Has(c.key, c.version), status: l.status,
 		waitingTokens: l.waitingTokensLocked(c.priority()),
 	}
 	v.weights = l.status.Weights(c.key)
-	// Most engines have not loaded the adapter and keep nothing for it (BenchmarkChooseEngineForPrompt).
+	// Most engines have not loaded the adapter and so have nothing cached
+	// (BenchmarkChooseEngineForPrompt).
 	if v.weights.Model > 0 {
-		v.kept = l.kept.Kept(v.weights, c.stretches)
+		v.cached = l.cached.Kept(v.weights, c.promptPrefixes)
 	}
 	return v
 }
 
-// keeps is how many tokens of a prompt the engine keeps for weights of a version, by what
-// its controller has reported last; 0 where another instance answers by now, or the
-// engine runs other weights.
-func (l *controllerLink) keeps(now time.Time, in *sandbarrow.Instance, c *call, v sandbarrow.WeightsVersion) int {
+// cachedTokens returns how many tokens of a prompt the engine has cached for the given weights, by
+// the last report of its controller. It returns 0 if another instance of the engine has been
+// reported, or if the engine runs other weights.
+func (l *controllerLink) cachedTokens(now time.Time, in *sandbarrow.Instance, c *call, v sandbarrow.WeightsVersion) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.usableLocked(now) || l.status.EngineUnreachable || l.status.Weights(c.key) != v {
@@ -97,10 +98,10 @@
 	if l.status.Instance != "" && !l.status.Instance.Is(in.ID) {
 		return 0
 	}
-	return l.kept.Kept(v, c.stretches)
+	return l.cached.Kept(v, c.promptPrefixes)
 }
 
-// age is how old the last status is.
+// age returns the age of the last status.
 func (l *controllerLink) age() time.Duration {
 	if l == nil {
 		return 0
@@ -120,15 +121,15 @@
 	return l.status, l.usableLocked(now)
 }
 
-// speed is the last estimate of the engine's speed; zero where there was none.
+// speed returns the last estimate of the engine's prefill speed; zero if there is none.
 func (l *linkState) speed() readspeed.Speed {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.status.Speed
 }
 
-// waitingTokens estimates the prompt tokens that a request of a priority waits for at
-// the engine, from all gateways by the last status and from this one since then.
+// waitingTokens estimates the prompt tokens that a request of a priority waits for at the engine.
+// It counts those of all gateways in the last status, and those of this gateway since then.
 func (l *controllerLink) waitingTokens(priority int) int {
 	if l == nil {
 		return 0
@@ -151,7 +152,7 @@
 	return waiting.Ahead(priority)
 }
 
-// addPin keeps a pin that was granted, or taken without the controller.
+// addPin stores a pin that was granted by the controller or taken without it.
 func (l *linkState) addPin(q *enginelink.Acquire) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,16 +162,16 @@
 	l.pins[q.ID] = q
 }
 
-// addTokens counts the prompt of a request of a priority that the engine has yet to
-// read, or no longer has where tokens is negative.
-func (l *linkState) addTokens(priority, tokens int) {
+// addWaitingTokens adds the prompt tokens of a request of a priority that the engine has yet to
+// prefill. With a negative number it removes them.
+func (l *linkState) addWaitingTokens(priority, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ownTokens.Add(priority, tokens)
 }
 
-// applyStatus replaces the last status, and returns the new one in full and the loads of
-// the last one.
+// applyStatus replaces the last status. It returns the new one in full and the loads of the
+// previous one.
 func (l *linkState) applyStatus(s enginelink.Status) (full enginelink.Status, before enginelink.Loads) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,12 +179,12 @@
 	s.Expand(&l.status)
 	started := s.Instance != "" && l.instance != "" && !s.Instance.Is(l.instance)
 	if len(s.Models) == 0 || started {
-		l.memory.Forget()
+		l.engineMemory.Forget()
 	}
 	if s.Instance != "" {
 		l.instance = s.Instance
 	}
-	l.memory.MarkLoaded(func(yield func(sandbarrow.AdapterKey, sandbarrow.AdapterVersion) bool) {
+	l.engineMemory.MarkLoaded(func(yield func(sandbarrow.AdapterKey, sandbarrow.AdapterVersion) bool) {
 		for i := range s.Slots {
 			if !yield(s.Slots[i].Key(), s.Slots[i].Version) {
 				return
@@ -194,20 +195,20 @@
 	return s, before
 }
 
-// reconnect begins with a new connection to the controller. What was reported on the last
-// one is forgotten until it is reported anew: the engine may have restarted meanwhile, with
-// other weights. The engine's speed and the fencing token outlive that.
+// reconnect starts a new connection to the controller. It discards what was reported on the last
+// one, because the engine may have restarted since then with other weights. The engine's speed and
+// the fencing token stay valid.
 func (l *linkState) reconnect(rpc *jsonrpc2.Conn) {
 	l.rpc, l.lastContact = rpc, boottime.Now()
-	l.kept = promptcache.Mirror{}
+	l.cached = promptcache.Mirror{}
 	l.status = enginelink.Status{Loads: l.status.Loads, Speed: l.status.Speed, Token: l.status.Token}
 }
 
-// applyKept follows what the engine keeps of the prompts it has read.
-func (l *linkState) applyKept(k *enginelink.Kept) {
+// applyCached applies changes of the engine's prompt cache.
+func (l *linkState) applyCached(k *enginelink.Kept) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept.Apply(k.Changes, k.All)
+	l.cached.Apply(k.Changes, k.All)
 }
 
 // connection returns the connection to the controller, or nil.
@@ -224,7 +225,7 @@
 	return !l.lastContact.IsZero()
 }
 
-// setWaiting applies the controller's own count of the prompt tokens that wait.
+// setWaiting applies the controller's own count of waiting prompt tokens.
 func (l *linkState) setWaiting(g *enginelink.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -242,8 +243,8 @@
 	return l.rpc != nil && now.Sub(l.lastContact) < enginelink.HeartbeatTimeout
 }
 
-// usableLocked reports whether the link is up and its controller has reported what the
-// engine holds.
+// usableLocked reports whether the link is up and its controller has reported what the engine has
+// loaded.
 func (l *linkState) usableLocked(now time.Time) bool {
 	return l.upLocked(now) && len(l.status.Models)+len(l.status.Slots) > 0
 }
--- a/gateway/listwatch.go
+++ b/gateway/listwatch.go
@@ -12,29 +12,28 @@
 	"sandbarrow.example/sandbarrow/prefixwatch"
 )
 
-// listShare is the part of the bound for draining upstreams (setting leave_bound) after
-// which the list is read again. What another gateway has read may be as old when it
-// arrives: twice this part stays within the bound. Were each gateway to read the list itself,
-// that would be a third of all calls to the store.
+// listShare is the fraction of the bound for draining upstreams (setting leave_bound) after which
+// the list is read again. A list from another gateway may have this age when it arrives, so the
+// total is twice this fraction and stays within the bound. If each gateway read the list itself,
+// this would be a third of all calls to the store.
 const listShare = 0.4
 
-// listWatch is the watch of the list of upstreams. The gateways share it: each
-// sends the others what it has read, through one of the controllers, and reads
-// only where nothing arrived in time.
+// listWatch returns the watch of the list of upstreams. The gateways share their reads: each sends
+// the others what it has read, through one of the controllers. It reads the store itself only if
+// nothing arrived in time.
 func (g *Gateway) listWatch() *prefixwatch.Watch {
 	return &prefixwatch.Watch{
-		Age: g.directory.Age, Busy: true, Consumer: sharedList{g}, Expecting: g.awaitsUpstreams, Logger: g.logger, Mark: g.directory.Mark,
+		Age: g.directory.Age, Busy: true, Consumer: sharedList{g}, Expecting: g.expectsUpstreams, Logger: g.logger, Mark: g.directory.Mark,
 		Pace: time.Duration(listShare * float64(g.config.LeaveBound)), Prefix: g.config.Instances.Prefix(), Sharing: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
 	}
 }
 
-// sharedList applies the list that the store sends, and sends the changes to the
-// other gateways.
+// sharedList applies the list from the store, and sends changes to the other gateways.
 type sharedList struct {
 	gateway *Gateway
 }
 
-// Replace applies the whole list.
+// Replace applies the complete list.
 func (s sharedList) Replace(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) {
 	s.gateway.directory.Replace(items, at)
 }
@@ -43,7 +42,7 @@
 func (s sharedList) Update(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) {
 	change := s.gateway.directory.Advance(items, at)
 	if rpc := s.gateway.engines.anyRPC(); rpc != nil {
-		_ = rpc.Notify(context.Background(), enginelink.MethodListed, change) // on a broken link the others read the list themselves
+		_ = rpc.Notify(context.Background(), enginelink.MethodListed, change) // if the link is broken, the others read the list themselves
 	}
 }
 
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,18 +10,18 @@
 	"sandbarrow.example/sandbarrow/availability"
 )
 
-// metrics are the gateway's figures.
+// metrics are the gateway's metrics.
 type metrics struct {
-	blockedSends *prometheus.CounterVec
-	ends         *prometheus.CounterVec
-	first        *prometheus.HistogramVec
-	limitedAsks  *prometheus.CounterVec
-	limitedSends *prometheus.CounterVec
-	moves        *prometheus.CounterVec
-	quota        *prometheus.CounterVec
-	requests     *prometheus.CounterVec
-	seconds      *prometheus.HistogramVec
-	sent         *prometheus.CounterVec
+	blockedSends      *prometheus.CounterVec
+	exits             *prometheus.CounterVec
+	firstEventSeconds *prometheus.HistogramVec
+	permitRequests    *prometheus.CounterVec
+	limitedSends      *prometheus.CounterVec
+	moves             *prometheus.CounterVec
+	quota             *prometheus.CounterVec
+	requests          *prometheus.CounterVec
+	requestSeconds    *prometheus.HistogramVec
+	sent              *prometheus.CounterVec
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
@@ -30,13 +30,13 @@
 		blockedSends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sandbarrow_gateway_blocked_sends_total", Help: "Requests given to upstreams that had announced to accept none, by what they announced.",
 		}, []string{"service", "announced"}),
-		ends: prometheus.NewCounterVec(prometheus.CounterOpts{
+		exits: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sandbarrow_gateway_upstream_ends_total", Help: "Upstreams that were found to have ended under a request, by the evidence.",
 		}, []string{"service", "evidence"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstEventSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "sandbarrow_gateway_first_event_seconds", Help: "Time to the first event of a stream.", Buckets: buckets,
 		}, []string{"service"}),
-		limitedAsks: prometheus.NewCounterVec(prometheus.CounterOpts{
+		permitRequests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sandbarrow_gateway_limited_asks_total", Help: "Questions for a send to an upstream that names a limit, by the answer.",
 		}, []string{"service", "outcome"}),
 		limitedSends: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -51,19 +51,18 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sandbarrow_gateway_requests_total", Help: "Ended requests, by kind of route, status and reason.",
 		}, []string{"kind", "status", "reason"}),
-		seconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "sandbarrow_gateway_request_seconds", Help: "Time to the end of a request.", Buckets: buckets,
 		}, []string{"kind"}),
 		sent: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "sandbarrow_gateway_sent_total", Help: "Requests given to upstreams, by service and whether it was the first time.",
 		}, []string{"service", "first"}),
 	}
-	r.MustRegister(m.blockedSends, m.ends, m.first, m.limitedAsks, m.limitedSends, m.moves, m.quota, m.requests, m.seconds, m.sent)
+	r.MustRegister(m.blockedSends, m.exits, m.firstEventSeconds, m.permitRequests, m.limitedSends, m.moves, m.quota, m.requests, m.requestSeconds, m.sent)
 	return m
 }
 
-// blockedSend counts a request that is given to an upstream, where that had announced to accept
-// none.
+// blockedSend counts a request sent to an upstream whose notice in force said that it accepts none.
 func (m *metrics) blockedSend(service sandbarrow.ServiceID, n *availability.Notice) {
 	if n.Draining {
 		m.blockedSends.WithLabelValues(string(service), "draining").Inc()
@@ -74,28 +73,28 @@
 }
 
 func (m *metrics) firstEvent(c *call, took time.Duration) {
-	m.first.WithLabelValues(string(c.service.ID)).Observe(took.Seconds())
+	m.firstEventSeconds.WithLabelValues(string(c.service.ID)).Observe(took.Seconds())
 }
 
-// quotaAsked counts what a request asked for of its workspace's limit: granted, refused, or
-// leaderless.
-func (m *metrics) quotaAsked(c *call, outcome string) {
+// quotaDecided counts the units that a request needed from its workspace's limit, by outcome:
+// granted, refused, or leaderless.
+func (m *metrics) quotaDecided(c *call, outcome string) {
 	m.quota.WithLabelValues(string(c.workspace.ID), outcome).Add(float64(c.quota.units))
 }
 
-// moveSettled counts a move by what came of it.
-func (m *metrics) moveSettled(o moveOutcome) {
+// moveDecided counts a move by its outcome.
+func (m *metrics) moveDecided(o moveOutcome) {
 	m.moves.WithLabelValues(string(o)).Inc()
 }
 
-// finished counts an ended call.
+// finished counts a finished call.
 func (m *metrics) finished(c *call, status int, why reason, took time.Duration) {
 	kind := "none"
 	if c.route != nil {
 		kind = string(c.route.Kind)
 	}
 	m.requests.WithLabelValues(kind, strconv.Itoa(status), string(why)).Inc()
-	m.seconds.WithLabelValues(kind).Observe(took.Seconds())
+	m.requestSeconds.WithLabelValues(kind).Observe(took.Seconds())
 	if c.service != nil && c.sent > 0 {
 		m.sent.WithLabelValues(string(c.service.ID), "true").Inc()
 		m.sent.WithLabelValues(string(c.service.ID), "false").Add(float64(c.sent - 1))
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -16,27 +16,26 @@
 )
 
 const (
-	// peerPause is the pause between two rounds of asking peers at a start.
-	peerPause = 200 * time.Millisecond
-	// listTimeout is how long the list may stay unconfirmed before peers are asked: longer
+	// startupQueryPause is the pause between two rounds of queries to peers at a start.
+	startupQueryPause = 200 * time.Millisecond
+	// listTimeout is how long the list may stay unconfirmed before peers are queried. It is longer
 	// than three reads of the list.
 	listTimeout = 2500 * time.Millisecond
-	// stalePause is the pause between two rounds while the list is unconfirmed.
-	stalePause = 700 * time.Millisecond
-	// eraPause is the pause between two checks for a restore of the store.
-	eraPause = 200 * time.Millisecond
-	// peerStagger is how long one peer has before the next one is asked too: far above a round
-	// trip, below peerTimeout.
+	// unconfirmedQueryPause is the pause between two rounds while the list is unconfirmed.
+	unconfirmedQueryPause = 700 * time.Millisecond
+	// eraCheckInterval is the interval between two checks for a restore of the store.
+	eraCheckInterval = 200 * time.Millisecond
+	// peerStagger is the time that one peer has to reply before the next one is queried too. It is
+	// far above a round trip and below peerTimeout.
 	peerStagger = 150 * time.Millisecond
-	// peerTimeout bounds the questions to one peer.
+	// peerTimeout bounds the calls to one peer.
 	peerTimeout = 800 * time.Millisecond
 )
 
-// methodInstances reads a peer's list of upstreams; a call.
+// methodInstances is the JSON-RPC method that reads a peer's list of upstreams.
 const methodInstances = "directory.fetch"
 
-// ServePeers answers other gateways that start while the store can't be read,
-// until ctx ends.
+// ServePeers serves other gateways that start while the store can't be read, until ctx ends.
 func (g *Gateway) ServePeers(ctx context.Context, listener net.Listener) error {
 	return enginelink.Accept(ctx, listener, g.logger, g.servePeer)
 }
@@ -56,13 +55,13 @@
 			if err := wire.Decode(r, &known); err != nil {
 				return nil, err
 			}
-			return g.list.since(known.Revision)
+			return g.listReply.since(known.Revision)
 		}
-		if answer, changed, handled, err := g.permits.kept.Handle(r); handled {
+		if reply, changed, handled, err := g.permits.own.Handle(r); handled {
 			if changed != nil {
-				g.upstreams.learnLimit(*changed)
+				g.upstreams.mergeLimit(*changed)
 			}
-			return answer, err
+			return reply, err
 		}
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 	}))
@@ -70,10 +69,10 @@
 	context.AfterFunc(ctx, func() { _ = rpc.Close() })
 }
 
-// learnFromPeers asks peers for the estate and the list of upstreams while they
-// are not known yet, once after each restore of the store, as peers may know what it has
+// syncFromPeers queries peers for the estate and the list of upstreams while they are unknown. It
+// also does so once after each restore of the store, as peers may have data that the store has
 // lost, and while the store has not confirmed the list for some time.
-func (g *Gateway) learnFromPeers(ctx context.Context) error {
+func (g *Gateway) syncFromPeers(ctx context.Context) error {
 	var era sandbarrow.StoreEra
 	eraKnown := false
 	for ctx.Err() == nil {
@@ -81,46 +80,46 @@
 		current := g.directory.Mark().Era()
 		switch {
 		case !known:
-			pause.For(ctx, peerPause)
+			pause.For(ctx, startupQueryPause)
 		case !eraKnown:
 			era, eraKnown = current, true
 			continue
 		case current > era:
 			era = current
 		case g.directory.Age() < listTimeout:
-			pause.For(ctx, min(eraPause, listTimeout-g.directory.Age()))
+			pause.For(ctx, min(eraCheckInterval, listTimeout-g.directory.Age()))
 			continue
 		default:
-			pause.For(ctx, stalePause)
+			pause.For(ctx, unconfirmedQueryPause)
 		}
-		g.askPeers(ctx)
+		g.queryPeers(ctx)
 	}
 	return nil
 }
 
-// askPeers asks the peers in an order of this gateway's own until one has brought
-// something new. Each gets peerStagger before the next one is asked too: of a hundred
-// gateways that start, few ask the same peer, and one that is cut off holds up nobody.
-func (g *Gateway) askPeers(ctx context.Context) {
+// queryPeers queries the peers in random order until one has returned something new. Each gets
+// peerStagger before the next one is queried too. When a hundred gateways start, only a few of them
+// query the same peer, and a peer that is cut off delays no gateway for long.
+func (g *Gateway) queryPeers(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan bool, len(g.config.Peers))
-	open := 0
+	results := make(chan bool, len(g.config.Peers))
+	pending := 0
 	for _, i := range rand.Perm(len(g.config.Peers)) {
 		address := g.config.Peers[i]
-		open++
+		pending++
 		go func() {
-			learnt, err := g.askPeer(ctx, address)
+			changed, err := g.queryPeer(ctx, address)
 			if err != nil {
-				g.logger.Debug("peer did not answer", "peer", address, "error", err.Error())
+				g.logger.Debug("peer did not reply", "peer", address, "error", err.Error())
 			}
-			answers <- learnt
+			results <- changed
 		}()
 		stagger := time.NewTimer(peerStagger)
 		select {
-		case learnt := <-answers:
-			open--
-			if learnt {
+		case changed := <-results:
+			pending--
+			if changed {
 				stagger.Stop()
 				return
 			}
@@ -128,15 +127,15 @@
 		}
 		stagger.Stop()
 	}
-	for range open {
-		if <-answers {
+	for range pending {
+		if <-results {
 			return
 		}
 	}
 }
 
-// askPeer applies what one peer knows, and reports whether that was new.
-func (g *Gateway) askPeer(ctx context.Context, address string) (bool, error) {
+// queryPeer applies the state of one peer, and reports whether it contained anything new.
+func (g *Gateway) queryPeer(ctx context.Context, address string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	rpc, err := enginelink.DialPeer(ctx, address, forward.DialTimeout)
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestStartInOutageLearnsFromPeers(t *testing.T) {
+func TestStartDuringStoreOutageSyncsFromPeers(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.configure(t, plainRoute(route.KindSafe))
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,17 +53,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = f.gateway.ServePeers(ctx, peers) }()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	unreachable, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	assert.NilError(t, gone.Close())
+	assert.NilError(t, unreachable.Close())
 
-	g := newLoneGateway(gone.Addr().String(), peers.Addr().String())
-	go func() { _ = g.learnFromPeers(ctx) }()
+	g := newLoneGateway(unreachable.Addr().String(), peers.Addr().String())
+	go func() { _ = g.syncFromPeers(ctx) }()
 	eventually(t, g.Ready)
 	assert.Equal(t, g.estate.View().Table.Version, f.version)
 	assert.Equal(t, len(g.directory.View().All()), 2)
 
-	// What changes later reaches it too, though its own store stays down.
+	// Later changes reach it too, though its own store stays down.
 	f.list(t, f.runners[1], f.runners[1].server.Listener.Addr().String(), true)
 	eventually(t, func() bool {
 		plain := g.directory.View().Service(testPlain)
@@ -71,8 +71,8 @@
 	})
 }
 
-func TestAskersShareOneAnswer(t *testing.T) {
-	const askers, upstreams, most = 1000, 160, 4 << 20
+func TestPeersShareOneEncodedList(t *testing.T) {
+	const peers, upstreams, maxBytes = 1000, 160, 4 << 20
 	g := newLoneGateway()
 	var items []sandbarrow.KeyItem
 	for i := range upstreams {
@@ -82,15 +82,15 @@
 	g.directory.Replace(items, 7)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	for range askers {
-		text, err := g.list.since(0)
+	for range peers {
+		text, err := g.listReply.since(0)
 		assert.NilError(t, err)
 		assert.Assert(t, len(text) > upstreams*1500)
 	}
 	runtime.ReadMemStats(&after)
-	assert.Assert(t, after.TotalAlloc-before.TotalAlloc < most, "%d askers allocated %d bytes", askers, after.TotalAlloc-before.TotalAlloc)
+	assert.Assert(t, after.TotalAlloc-before.TotalAlloc < maxBytes, "%d queries allocated %d bytes", peers, after.TotalAlloc-before.TotalAlloc)
 
-	text, err := g.list.since(7)
+	text, err := g.listReply.since(7)
 	assert.NilError(t, err)
 	var got enginelink.Estate
 	assert.NilError(t, json.Unmarshal(text, &got))
@@ -98,14 +98,14 @@
 	assert.Equal(t, len(got.Items), 0)
 
 	g.directory.Update([]sandbarrow.KeyItem{{Key: "up/e3", Gone: true, Revision: 9}}, 9)
-	text, err = g.list.since(7)
+	text, err = g.listReply.since(7)
 	assert.NilError(t, err)
 	assert.NilError(t, json.Unmarshal(text, &got))
 	assert.Equal(t, got.Mark, sandbarrow.StoreRevision(9))
 	assert.Equal(t, len(got.Items), upstreams-1)
 }
 
-func TestIsolation(t *testing.T) {
+func TestGatewayWithMostLinksDownIsNotReady(t *testing.T) {
 	g := newLoneGateway()
 	g.estate.Update([]sandbarrow.KeyItem{{Key: "op/table", Revision: 1, Value: []byte("{}")}}, 1)
 	g.directory.Replace(nil, 1)
@@ -113,43 +113,43 @@
 		g.engines.links[address] = &controllerLink{gateway: g, linkState: linkState{lastContact: boottime.Now(), rpc: &jsonrpc2.Conn{}}}
 	}
 	assert.Assert(t, g.Ready())
-	silence := func(addresses ...string) {
+	expireHeartbeat := func(addresses ...string) {
 		for _, a := range addresses {
 			g.engines.links[a].lastContact = boottime.Now().Add(-2 * enginelink.HeartbeatTimeout)
 		}
 	}
-	silence("a", "b", "c")
+	expireHeartbeat("a", "b", "c")
 	assert.Assert(t, g.Ready())
-	silence("d")
+	expireHeartbeat("d")
 	assert.Assert(t, !g.Ready())
 	g.engines.links["a"].lastContact = boottime.Now()
 	assert.Assert(t, g.Ready())
 }
 
-func TestRetryAllowanceIsShared(t *testing.T) {
+func TestRetryBurstIsSharedByGateways(t *testing.T) {
 	g := newLoneGateway()
 	burst := func() float64 { return retry.GatewayBurst(g.config.RetrySlack, g.engines.gateways()) }
 	assert.Equal(t, burst(), float64(retry.FallbackBurst))
 	status := enginelink.Status{Gateways: 10, Models: []sandbarrow.BaseModelID{testModel}}
 	g.engines.links["a"] = &controllerLink{gateway: g, linkState: linkState{lastContact: boottime.Now(), rpc: &jsonrpc2.Conn{}, status: status}}
 	assert.Assert(t, math.Abs(burst()-4.2) < 1e-9)
-	taken := 0
+	allowed := 0
 	b := g.retryBudget("s")
 	for b.AllowRetry() {
-		taken++
+		allowed++
 	}
-	assert.Equal(t, taken, 1, "a gateway that starts has not saved up all")
+	assert.Equal(t, allowed, 1, "a starting gateway has more than one retry")
 	for range 100 {
 		g.retryBudget("s").Request()
 	}
 	for b.AllowRetry() {
-		taken++
+		allowed++
 	}
-	assert.Equal(t, taken, 5, "no more than the burst is saved up")
+	assert.Equal(t, allowed, 5, "more or less than the burst was accumulated")
 }
 
-// However many gateways share the slack, each may repeat a request at times.
-func TestManyGatewaysMayRepeat(t *testing.T) {
+// The share of the slack must not round to zero with many gateways.
+func TestEachOfManyGatewaysMayRetry(t *testing.T) {
 	g := newLoneGateway()
 	status := enginelink.Status{Gateways: 1000, Models: []sandbarrow.BaseModelID{testModel}}
 	g.engines.links["a"] = &controllerLink{gateway: g, linkState: linkState{lastContact: boottime.Now(), rpc: &jsonrpc2.Conn{}, status: status}}
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -13,14 +13,13 @@
 	if p == nil {
 		p = forward.NewPool(in.Address)
 		g.pools[in.ID] = p
-		g.closeGone()
+		g.closeUnlisted()
 	}
 	return p
 }
 
-// closeGone drops the pools of upstreams that are no longer listed. The caller
-// holds mu.
-func (g *Gateway) closeGone() {
+// closeUnlisted closes the pools of upstreams that are no longer listed. The caller holds mu.
+func (g *Gateway) closeUnlisted() {
 	listed := map[sandbarrow.InstanceID]bool{}
 	for _, in := range g.directory.View().All() {
 		listed[in.ID] = true
--- a/gateway/progress.go
+++ b/gateway/progress.go
@@ -35,7 +35,7 @@
 	at    atomic.Int64
 	begun atomic.Bool
 	// firstEvent is when the first event arrived. proven is set once events have arrived for
-	// provenRun. Only the goroutine that reads the events uses both.
+	// minProvenRun. Only the goroutine that reads the events uses both.
 	firstEvent time.Time
 	proven     bool
 	// pauseReported is set once a pause that was too long has been reported. Only the
--- a/gateway/promptmove.go
+++ b/gateway/promptmove.go
@@ -74,8 +74,8 @@
 	}
 	for i := range list {
 		e := &list[i]
-		if e.linked && e.kept >= minMovedTokens && e.weights.Known(n.key) {
-			sources = sources.add(cachedSource{instance: e.instance, link: e.link, tokens: e.kept, weights: e.weights})
+		if e.linked && e.cached >= minMovedTokens && e.weights.Known(n.key) {
+			sources = sources.add(cachedSource{instance: e.instance, link: e.link, tokens: e.cached, weights: e.weights})
 		}
 	}
 	return sources
@@ -130,7 +130,7 @@
 	if source == nil {
 		return 0
 	}
-	moved := source.tokens - e.kept
+	moved := source.tokens - e.cached
 	if moved < minMovedTokens {
 		return 0
 	}
@@ -157,7 +157,7 @@
 		e.move = promptMove{}
 	}
 	e.move.outcome = outcome
-	c.gateway.metrics.moveSettled(outcome)
+	c.gateway.metrics.moveDecided(outcome)
 }
 
 func (c *call) moveOutcomeFor(m *promptMove, granted sandbarrow.WeightsVersion) moveOutcome {
@@ -165,7 +165,7 @@
 	switch {
 	case granted != s.weights:
 		return moveOtherWeights
-	case !c.gateway.upstreams.accepts(s.instance), s.link.keeps(boottime.Now(), s.instance, c, granted) < minMovedTokens:
+	case !c.gateway.upstreams.accepts(s.instance), s.link.cachedTokens(boottime.Now(), s.instance, c, granted) < minMovedTokens:
 		return moveNotCached
 	}
 	return moveSent
--- a/gateway/promptmove_test.go
+++ b/gateway/promptmove_test.go
@@ -36,10 +36,10 @@
 }
 
 // cachingEngine returns an engine with the given weights and number of cached tokens.
-func cachingEngine(address string, kept int, v sandbarrow.WeightsVersion) candidate {
+func cachingEngine(address string, cached int, v sandbarrow.WeightsVersion) candidate {
 	return candidate{
 		instance: &sandbarrow.Instance{Address: address, ID: sandbarrow.InstanceID(address)},
-		linkView: linkView{kept: kept, linked: true, status: statusWithWeights(v), weights: v},
+		linkView: linkView{cached: cached, linked: true, status: statusWithWeights(v), weights: v},
 	}
 }
 
@@ -101,7 +101,7 @@
 			assert.Equal(t, e.move.tokens, tc.moved, name)
 			assert.Equal(t, cost, time.Duration(tc.moved)*(n.movePerToken+movePenaltyPerToken), name)
 			assert.Equal(t, e.move.sourceAddress(), "", "the move is not confirmed")
-			assert.Equal(t, e.unread(9000), 9000-e.kept-tc.moved, name)
+			assert.Equal(t, e.uncachedTokens(9000), 9000-e.cached-tc.moved, name)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	g.estate.Update([]sandbarrow.KeyItem{{Key: "op/table", Revision: 1, Value: []byte("{}")}, {Key: "op/version/", Revision: 2, Value: []byte("7")}}, 2)
 	c := callFor(g, "", 100)
 	assert.Equal(t, g.estate.View().Version(c.key), sandbarrow.AdapterVersion(7))
-	assert.Equal(t, c.leastVersion(), sandbarrow.AdapterVersion(0))
+	assert.Equal(t, c.minVersion(), sandbarrow.AdapterVersion(0))
 }
 
 func TestReconnectForgetsReportedState(t *testing.T) {
@@ -136,12 +136,12 @@
 	s.Token = 41
 	link.applyStatus(s)
 	before := link.view(boottime.Now(), c)
-	assert.Assert(t, before.linked && before.kept > 0)
+	assert.Assert(t, before.linked && before.cached > 0)
 	link.mu.Lock()
 	link.reconnect(&jsonrpc2.Conn{})
 	link.mu.Unlock()
 	after := link.view(boottime.Now(), c)
-	assert.Assert(t, !after.linked && after.kept == 0)
+	assert.Assert(t, !after.linked && after.cached == 0)
 	assert.DeepEqual(t, after.status, enginelink.Status{Loads: s.Loads, Speed: s.Speed, Token: s.Token})
 }
 
@@ -159,14 +159,14 @@
 	t.Helper()
 	g := newChoosingGateway(t, statusWithWeights(oldWeights))
 	c := callFor(g, "a", 9000)
-	c.stretches = promptcache.Stretches(testKey, "5c:8000,01:1000")
+	c.promptPrefixes = promptcache.Stretches(testKey, "5c:8000,01:1000")
 	source := g.directory.View().Service(testEngines)[0]
 	link := g.engines.link(source.Address)
 	var memory promptcache.Memory
 	memory.SetCapacity(100_000)
-	memory.Use(testKey, oldWeights, c.stretches)
+	memory.Use(testKey, oldWeights, c.promptPrefixes)
 	changes, all, _ := memory.Changes(0)
-	link.applyKept(&enginelink.Kept{All: all, Changes: changes})
+	link.applyCached(&enginelink.Kept{All: all, Changes: changes})
 	e := &candidate{granted: oldWeights, move: promptMove{
 		source: cachedSource{instance: source, link: link, tokens: 8000, weights: oldWeights}, tokens: 8000,
 	}}
@@ -199,7 +199,7 @@
 			s.EngineUnreachable = true
 			l.applyStatus(s)
 		}, moveNotCached},
-		"the source has evicted the prefix": {func(_ *call, _ *candidate, l *controllerLink) { l.applyKept(&enginelink.Kept{All: true}) }, moveNotCached},
+		"the source has evicted the prefix": {func(_ *call, _ *candidate, l *controllerLink) { l.applyCached(&enginelink.Kept{All: true}) }, moveNotCached},
 		"the source's controller sends no heartbeats": {func(_ *call, _ *candidate, l *controllerLink) {
 			l.mu.Lock()
 			l.lastContact = boottime.Now().Add(-enginelink.HeartbeatTimeout)
@@ -249,9 +249,9 @@
 	a := sandbarrow.AdapterKey{Adapter: "a", Model: testModel}
 	l.applyStatus(status("e@100", "a"))
 	l.applyStatus(status("e@100", "b"))
-	assert.Assert(t, l.memory.Has(a, 1))
+	assert.Assert(t, l.engineMemory.Has(a, 1))
 	l.applyStatus(status("", "b")) // not identified for a moment
-	assert.Assert(t, l.memory.Has(a, 1))
+	assert.Assert(t, l.engineMemory.Has(a, 1))
 	l.applyStatus(status("e@200", "b"))
-	assert.Assert(t, !l.memory.Has(a, 1))
+	assert.Assert(t, !l.engineMemory.Has(a, 1))
 }
--- a/gateway/sendpermits.go
+++ b/gateway/sendpermits.go
@@ -12,23 +12,24 @@
 	"sandbarrow.example/sandbarrow/throttle"
 )
 
-// sendPermits asks for sends to upstreams that name a limit. It is safe for concurrent use.
+// sendPermits requests permits to send to upstreams that name a limit. It is safe for concurrent
+// use.
 type sendPermits struct {
-	gateway *Gateway
-	keepers *sendkeepers.Coordinators
-	// kept grants sends to all peers where this gateway is asked.
-	kept *enginelink.SendKeeper
+	gateway      *Gateway
+	coordinators *sendkeepers.Coordinators
+	// own grants sends to all peers if this gateway is the coordinator.
+	own *enginelink.SendKeeper
 }
 
 func newSendPermits(g *Gateway) *sendPermits {
-	p := &sendPermits{gateway: g, kept: enginelink.NewSendKeeper(1)}
-	p.keepers = sendkeepers.New(sendkeepers.Config{
-		Controllers: p.controllers, Logger: g.logger, Own: p.kept, PeerAddress: g.config.PeerAddress, Peers: g.config.Peers,
+	p := &sendPermits{gateway: g, own: enginelink.NewSendKeeper(1)}
+	p.coordinators = sendkeepers.New(sendkeepers.Config{
+		Controllers: p.controllers, Logger: g.logger, Own: p.own, PeerAddress: g.config.PeerAddress, Peers: g.config.Peers,
 	})
 	return p
 }
 
-// controllers are the controllers whose links are up.
+// controllers returns the controllers whose links are up.
 func (p *sendPermits) controllers() []sendkeepers.Coordinator {
 	var list []sendkeepers.Coordinator
 	for _, l := range p.gateway.engines.upLinks(boottime.Now()) {
@@ -39,42 +40,42 @@
 
 // sendPermit is the right to send one request to an upstream.
 type sendPermit struct {
-	// permits is nil where the upstream names no limit.
+	// permits is nil if the upstream names no limit.
 	permits *sendPermits
 	record  throttle.Record
 }
 
-// unused gives the permit back, since the request was not sent.
-func (p *sendPermit) unused() {
+// release returns the permit of a request that was not sent.
+func (p *sendPermit) release() {
 	if p.permits != nil {
-		p.permits.keepers.Report(enginelink.Sent{Record: p.record, Sends: -1})
+		p.permits.coordinators.Report(enginelink.Sent{Record: p.record, Sends: -1})
 	}
 }
 
-// acquire asks for one send to an upstream. Where it is granted for a moment later, it waits
-// for that; false means that the upstream takes no request now.
+// acquire requests one send to an upstream. If it is granted for a later time, acquire waits until
+// then. It returns false if the upstream accepts no request now.
 func (p *sendPermits) acquire(ctx context.Context, in *sandbarrow.Instance, within time.Duration) (*sendPermit, bool) {
-	record, need, may := p.gateway.upstreams.beginAsk(in.ID)
+	record, need, may := p.gateway.upstreams.beginPermitRequest(in.ID)
 	switch {
 	case !may:
 		return nil, false
 	case !need:
 		return &sendPermit{}, true
 	}
-	grant := p.keepers.RequestSend(ctx, enginelink.Send{Record: record, WithinMS: within.Milliseconds()})
-	p.gateway.upstreams.endAsk(in.ID, &grant, within)
+	grant := p.coordinators.RequestSend(ctx, enginelink.Send{Record: record, WithinMS: within.Milliseconds()})
+	p.gateway.upstreams.endPermitRequest(in.ID, &grant, within)
 	outcome := "refused"
 	if grant.Granted {
 		outcome = "granted"
 	}
-	p.gateway.metrics.limitedAsks.WithLabelValues(string(in.Service), outcome).Inc()
+	p.gateway.metrics.permitRequests.WithLabelValues(string(in.Service), outcome).Inc()
 	if !grant.Granted {
 		return nil, false
 	}
 	permit := &sendPermit{permits: p, record: record}
 	pause.For(ctx, time.Duration(grant.WaitMS)*time.Millisecond)
 	if ctx.Err() != nil {
-		permit.unused()
+		permit.release()
 		return nil, false
 	}
 	return permit, true
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -35,9 +35,9 @@
 // responded or the request may not be sent again.
 func (c *call) serveEngine(ctx context.Context) {
 	s := engineSearch{excluded: map[sandbarrow.InstanceID]bool{}, endReason: reasonNoUpstream}
-	for ctx.Err() == nil && c.left() > minSendTime && s.mayContinue() {
-		c.holdSuspect(ctx)
-		c.version = c.leastVersion()
+	for ctx.Err() == nil && c.timeLeft() > minSendTime && s.mayContinue() {
+		c.delaySuspect(ctx)
+		c.version = c.minVersion()
 		e := c.gateway.chooseEngine(c, s.excluded)
 		if s.isFirst() && !c.blocked.waitIsFutile() && (e == nil || !c.gateway.engines.anyUp()) && c.awaitEngines(ctx) {
 			continue
@@ -46,7 +46,7 @@
 			break
 		}
 		c.chosen = e
-		callerTimeout := c.callerEnds.Sub(c.began)
+		callerTimeout := c.callerDeadline.Sub(c.began)
 		if s.isFirst() && refuseEarly(e, c.elapsed(), c.route.Objective, c.route.Timeout, callerTimeout) {
 			c.refuse(http.StatusServiceUnavailable, reasonOverload)
 			return
@@ -56,7 +56,7 @@
 			continue
 		}
 		if s.endReason = c.attemptRefusal(); s.endReason != "" {
-			permit.unused()
+			permit.release()
 			c.unpin(e)
 			break
 		}
@@ -77,7 +77,7 @@
 	}
 	version, pinned := c.pinAt(ctx, s, e)
 	if !pinned {
-		permit.unused()
+		permit.release()
 		return 0, nil, false
 	}
 	if permit, granted = c.renewPermit(ctx, e.instance, permit); !granted {
@@ -120,7 +120,7 @@
 		s.busyRetries++
 		return 0, false
 	}
-	if granted && grant.Version < c.leastVersion() {
+	if granted && grant.Version < c.minVersion() {
 		// A newer version was named while the request waited for its adapter and for the
 		// prompts ahead of it. The newer one is acquired instead, possibly at this engine.
 		c.unpin(e)
@@ -147,28 +147,28 @@
 // not linked, the request goes to an engine that is listed with the adapter loaded. The
 // engine itself refuses it if the adapter is no longer loaded.
 func (c *call) acquire(ctx context.Context, e *candidate, maxWait time.Duration) (enginelink.Grant, bool) {
-	wait := min(maxWait, c.left())
+	wait := min(maxWait, c.timeLeft())
 	request := &enginelink.Acquire{
 		Adapter: c.key.Adapter, ID: sandbarrow.RequestID(c.id), Instance: e.instance.ID, Model: c.key.Model,
-		MostWaiting: e.maxWaitingTokens(), Priority: c.priority(), Stretches: c.stretches, Tokens: c.tokens, Version: c.version, UsefulMS: c.objectiveSlack(e).Milliseconds(),
+		MostWaiting: e.maxWaitingTokens(), Priority: c.priority(), Stretches: c.promptPrefixes, Tokens: c.tokens, Version: c.version, UsefulMS: c.objectiveSlack(e).Milliseconds(),
 		WaitMS: max(1, wait.Milliseconds()),
 	}
 	if !e.linked {
 		if e.link != nil {
-			e.link.takePin(ctx, request)
+			e.link.addUnreportedPin(ctx, request)
 		}
 		return enginelink.Grant{Version: c.version}, true
 	}
 	began := time.Now()
-	unread := e.unread(c.tokens)
-	e.link.addTokens(c.priority(), unread)
+	uncachedTokens := e.uncachedTokens(c.tokens)
+	e.link.addWaitingTokens(c.priority(), uncachedTokens)
 	defer func() {
-		e.link.addTokens(c.priority(), -unread)
+		e.link.addWaitingTokens(c.priority(), -uncachedTokens)
 		c.acquired += time.Since(began)
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer c.gateway.upstreams.await(e.instance.ID, c, cancel)()
+	defer c.gateway.upstreams.cancelWhenBlocked(e.instance.ID, c, cancel)()
 	g, ok := e.link.acquire(ctx, request)
 	if !ok {
 		g.Refused = refuseNoReply
@@ -179,7 +179,7 @@
 // objectiveSlack returns how long the request may still wait for a grant at an engine and
 // meet its objective. It may be negative.
 func (c *call) objectiveSlack(e *candidate) time.Duration {
-	return c.untilObjective() - e.speed().TimeToFirstEvent(e.unread(c.tokens))
+	return c.untilObjective() - e.speed().TimeToFirstEvent(e.uncachedTokens(c.tokens))
 }
 
 // unpin releases the pin at an engine.
@@ -194,7 +194,7 @@
 	result := c.tryEngine(ctx, e, version)
 	c.unpin(e)
 	if result == resultNotSent {
-		permit.unused()
+		permit.release()
 	}
 	if result != resultAnswered {
 		c.logAttempt(e.instance.ID, result.String(), c.cause, e)
@@ -210,7 +210,7 @@
 	case stepAbort:
 		c.abort(endReason)
 	case stepPassFailure:
-		c.pass(c.failure)
+		c.writeResponse(c.failure)
 		return true
 	}
 	return false
@@ -222,7 +222,7 @@
 	case c.committed:
 		c.abort(why)
 	case c.failure != nil:
-		c.pass(c.failure)
+		c.writeResponse(c.failure)
 	default:
 		c.giveUp(ctx, why)
 	}
@@ -234,19 +234,19 @@
 	defer cancel(nil)
 	p := &progress{start: time.Now()}
 	if e.linked {
-		c.unread = e.unread(c.tokens)
-		e.link.addTokens(c.priority(), c.unread)
-		defer func() { e.link.addTokens(c.priority(), -c.unread) }()
+		c.uncachedTokens = e.uncachedTokens(c.tokens)
+		e.link.addWaitingTokens(c.priority(), c.uncachedTokens)
+		defer func() { e.link.addWaitingTokens(c.priority(), -c.uncachedTokens) }()
 	}
 	go c.watchProgress(ctx, cancel, e, p)
-	c.gateway.upstreams.begin(e.instance.ID)
+	c.gateway.upstreams.beginRequest(e.instance.ID)
 	result := c.runEngine(ctx, e, version, p)
 	c.gateway.crashes.Attempted()
 	if result == resultBroken && !p.proven {
-		c.noteBroken(ctx, e.instance)
+		c.recordBroken(ctx, e.instance)
 	}
 	failed := result == resultBroken && c.request.Context().Err() == nil || result == resultFailed || result == resultNotSent
-	c.gateway.upstreams.end(e.instance.ID, failed)
+	c.gateway.upstreams.endRequest(e.instance.ID, failed)
 	return result
 }
 
@@ -260,13 +260,13 @@
 		return c.failAttempt(ctx, resultBroken, err)
 	}
 	defer a.Close()
-	c.gateway.upstreams.observe(e.instance, sent, a)
+	c.gateway.upstreams.observeResponse(e.instance, sent, a)
 	if c.notRun(a) {
-		_, _ = a.Body(maxAnswerBytes) // the body must be read before the connection can be reused
+		_, _ = a.Body(maxResponseBytes) // the body must be read before the connection can be reused
 		return c.failAttempt(ctx, resultNotRun, errors.Errorf("status %d", a.Status))
 	}
 	if a.Status != http.StatusOK || !strings.HasPrefix(a.Header.Get("Content-Type"), streamMediaType) {
-		return c.passWhole(ctx, a)
+		return c.passComplete(ctx, a)
 	}
 	return c.passEvents(ctx, a, e, p)
 }
--- a/gateway/serveplain.go
+++ b/gateway/serveplain.go
@@ -29,8 +29,8 @@
 func (c *call) servePlain(ctx context.Context) {
 	excluded := map[sandbarrow.InstanceID]bool{}
 	why := reasonNoUpstream
-	for ctx.Err() == nil && c.left() > minSendTime {
-		c.holdSuspect(ctx)
+	for ctx.Err() == nil && c.timeLeft() > minSendTime {
+		c.delaySuspect(ctx)
 		in := c.gateway.choosePlain(c, excluded)
 		if in == nil {
 			break
@@ -41,89 +41,89 @@
 			continue
 		}
 		if refusal := c.refusalBeforeSend(); refusal != "" {
-			permit.unused()
+			permit.release()
 			why = refusal
 			break
 		}
 		if !c.maySend() {
-			permit.unused()
+			permit.release()
 			break
 		}
 		got, err := c.tryPlain(ctx, in)
 		c.logPlainAttempt(in.ID, got, err)
 		switch {
 		case errors.Is(err, forward.ErrNotSent):
-			permit.unused()
+			permit.release()
 			why = reasonNoUpstream
 			continue
 		case err != nil:
 			c.ran++
 			why = reasonBroken
 			continue
-		case c.notRun(got.answer):
-			if got.answer.Status == http.StatusMisdirectedRequest {
-				c.gateway.ends.noteMisdirected(in)
+		case c.notRun(got.response):
+			if got.response.Status == http.StatusMisdirectedRequest {
+				c.gateway.exits.recordMisdirected(in)
 			}
 			why = reasonRefused
 			continue
 		}
 		c.ran++
-		if got.answer.Status < http.StatusInternalServerError {
-			c.pass(got)
+		if got.response.Status < http.StatusInternalServerError {
+			c.writeResponse(got)
 			return
 		}
 		c.failure = got
 	}
 	if c.failure != nil {
-		c.pass(c.failure)
+		c.writeResponse(c.failure)
 		return
 	}
 	c.giveUp(ctx, why)
 }
 
 // logPlainAttempt logs an attempt that did not complete the call successfully.
-func (c *call) logPlainAttempt(id sandbarrow.InstanceID, got *wholeAnswer, err error) {
+func (c *call) logPlainAttempt(id sandbarrow.InstanceID, got *completeResponse, err error) {
 	switch {
 	case err != nil:
 		c.logAttempt(id, "failed", err.Error(), nil)
-	case got.answer.Status >= http.StatusInternalServerError || c.notRun(got.answer):
-		c.logAttempt(id, "status "+strconv.Itoa(got.answer.Status), "", nil)
+	case got.response.Status >= http.StatusInternalServerError || c.notRun(got.response):
+		c.logAttempt(id, "status "+strconv.Itoa(got.response.Status), "", nil)
 	}
 }
 
 // tryPlain sends the request to one upstream and reads the complete response. If the request
 // may still be sent to another upstream, the attempt is limited to hedgeObjectiveFactor
 // times the objective.
-func (c *call) tryPlain(ctx context.Context, in *sandbarrow.Instance) (*wholeAnswer, error) {
+func (c *call) tryPlain(ctx context.Context, in *sandbarrow.Instance) (*completeResponse, error) {
 	if c.route.Repeatable() && c.ran+1 < c.route.MaxAttempts && c.route.Objective > 0 && c.route.Kind != route.KindStream {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, hedgeObjectiveFactor*c.route.Objective)
 		defer cancel()
 	}
-	c.gateway.upstreams.begin(in.ID)
+	c.gateway.upstreams.beginRequest(in.ID)
 	got, err := c.exchange(ctx, in)
 	if err != nil && !errors.Is(err, forward.ErrNotSent) {
-		c.noteBroken(ctx, in)
+		c.recordBroken(ctx, in)
 	}
 	c.gateway.crashes.Attempted()
 	left := c.request.Context().Err() != nil
-	c.gateway.upstreams.end(in.ID, !left && (err != nil || got.answer.Status >= http.StatusInternalServerError))
+	c.gateway.upstreams.endRequest(in.ID, !left && (err != nil || got.response.Status >= http.StatusInternalServerError))
 	return got, err
 }
 
 // exchange sends the request of one attempt and reads the response.
-func (c *call) exchange(ctx context.Context, in *sandbarrow.Instance) (*wholeAnswer, error) {
+func (c *call) exchange(ctx context.Context, in *sandbarrow.Instance) (*completeResponse, error) {
 	a, sent, err := c.send(ctx, in, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer a.Close()
-	c.gateway.upstreams.observe(in, sent, a)
-	body, err := a.Body(maxAnswerBytes)
+	c.gateway.upstreams.observeResponse(in, sent, a)
+	body, err := a.Body(maxResponseBytes)
 	if err != nil {
 		return nil, err
 	}
-	return &wholeAnswer{answer: a, body: body}, nil
+	return &completeResponse{response: a, body: body}, nil
 }
 
 // choosePlain decides which upstream of a plain service gets a request: the one with the lowest
@@ -142,11 +142,11 @@
 	first := rand.IntN(max(1, len(list)))
 	for i := range list {
 		in := list[(first+i)%len(list)]
-		look, allowed := c.look(now, in, availability.Report{}, excluded)
+		check, allowed := c.check(now, in, availability.Report{}, excluded)
 		if !allowed {
 			continue
 		}
-		cost := look.Penalty + time.Duration(look.InFlight)*plainRequestDelay/time.Duration(max(1, in.Slots))
+		cost := check.Penalty + time.Duration(check.InFlight)*plainRequestDelay/time.Duration(max(1, in.Slots))
 		if in.FailureDomain != g.config.Domain {
 			cost += crossDomainPenalty
 		}
--- a/gateway/staleprompt_test.go
+++ b/gateway/staleprompt_test.go
@@ -38,8 +38,8 @@
 			f.awaitStatuses(t)
 			f.sendSharedPrompt(t, "shared")
 			assert.DeepEqual(t, target.runs(), []string{"shared"})
-			assert.Equal(t, target.memory.stale, 0, "used prompt parts of other weights")
-			assert.Equal(t, target.memory.moved > 0, tc.moves, "moved prompt parts from another engine")
+			assert.Equal(t, target.promptCache.stale, 0, "used prompt parts of other weights")
+			assert.Equal(t, target.promptCache.moved > 0, tc.moves, "moved prompt parts from another engine")
 		})
 	}
 }
@@ -47,7 +47,7 @@
 func TestMoveIsDroppedIfGrantedWeightsDiffer(t *testing.T) {
 	for name, change := range map[string]func(*runner){
 		"the base model has changed":      func(r *runner) { r.setWeights(testWeights{model: 7}) },
-		"the load yields a newer adapter": func(r *runner) { r.set(func() { r.newest = 2 }) },
+		"the load yields a newer adapter": func(r *runner) { r.set(func() { r.latestVersion = 2 }) },
 		"no change, for control":          func(*runner) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,8 +62,8 @@
 			change(target)
 			f.sendSharedPrompt(t, "shared")
 			assert.DeepEqual(t, target.runs(), []string{"shared"})
-			assert.Equal(t, target.memory.stale, 0, "used prompt parts of other weights")
-			assert.Equal(t, target.memory.moved > 0, name == "no change, for control")
+			assert.Equal(t, target.promptCache.stale, 0, "used prompt parts of other weights")
+			assert.Equal(t, target.promptCache.moved > 0, name == "no change, for control")
 		})
 	}
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -6,23 +6,22 @@
 	"time"
 )
 
-// The times of a planned stop, counted from the signal. Together they fit into the
-// grace of the settings (8 s by default).
+// The times of a planned stop, counted from the signal. Together they fit into the grace period of
+// the settings (8 s by default).
 const (
-	// DefaultAcceptAfterStop is how long a stopping gateway accepts new connections, until
-	// the balancer has surely seen that it is not ready: the balancer's check takes up to
-	// 2.5 s.
+	// DefaultAcceptAfterStop is how long a stopping gateway accepts new connections. By then the
+	// load balancer has seen that the gateway is not ready: its health check takes up to 2.5 s.
 	DefaultAcceptAfterStop = 2600 * time.Millisecond
-	// refuseAfterStop is when a stopping gateway accepts no more streams, which might not end
-	// before it does: right after new connections end.
+	// refuseAfterStop is when a stopping gateway begins to refuse streams, as they might not finish
+	// before it exits. This is right after it stops accepting connections.
 	refuseAfterStop = 2800 * time.Millisecond
 	// stopMargin ends a planned stop before the platform kills the process.
 	stopMargin = 500 * time.Millisecond
 )
 
-// stop waits for ctx, then stops so that no request is cut: first the balancer
-// learns that this gateway is not ready, then it accepts no more connections, then
-// what runs ends.
+// stop waits for ctx, then stops without cutting off requests. First the load balancer sees that
+// this gateway is not ready. Then the gateway accepts no more connections and waits for running
+// requests to finish.
 func (g *Gateway) stop(ctx context.Context, server *http.Server) error {
 	<-ctx.Done()
 	began := time.Now()
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -22,12 +22,12 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-func TestAgesCountASuspension(t *testing.T) {
-	t.Run("a configuration is not trusted for longer", func(t *testing.T) {
+func TestSuspensionCountsTowardAges(t *testing.T) {
+	t.Run("configuration trust expires", func(t *testing.T) {
 		reader := &switchedReader{}
 		f := newFleetWith(t, 0, 1, func(c *Config) { c.RevokeBound, c.TableStore = 5*time.Second, reader })
 		reader.set(f.store)
-		f.workspaces = redAndBlue()
+		f.workspaces = redAndBlueWorkspaces()
 		f.configure(t, plainRoute(route.KindSafe))
 		assert.Equal(t, f.send(t.Context(), http.MethodGet, "/p/", withKey("red-key")).status, http.StatusOK)
 		reader.set(nil)
@@ -37,23 +37,23 @@
 		assert.Check(t, got.body == string(reasonStale)+"\n", got.body)
 		assert.Check(t, !f.gateway.Ready())
 	})
-	t.Run("a grant that was held up is not used", func(t *testing.T) {
+	t.Run("delayed grant is not used", func(t *testing.T) {
 		g := newLoneGateway()
 		near, far := net.Pipe()
 		leader := jsonrpc2.NewConn(t.Context(), wire.NewStream(far), wire.Handler(func(context.Context, *jsonrpc2.Request) (any, error) {
-			boottime.Suspend(time.Second) // while the answer is on its way
+			boottime.Suspend(time.Second) // while the reply is on its way
 			return enginelink.Taken{Granted: true, LifeMS: 500}, nil
 		}))
 		defer leader.Close()
 		l := &controllerLink{gateway: g}
 		l.reconnect(jsonrpc2.NewConn(t.Context(), wire.NewStream(near), wire.Handler(func(context.Context, *jsonrpc2.Request) (any, error) { return nil, nil })))
-		g.leads.learn(l, &enginelink.Leads{Terms: []enginelink.LeadTerm{{Shard: 1, Term: 3}}})
+		g.leaders.apply(l, &enginelink.Leads{Terms: []enginelink.LeadTerm{{Shard: 1, Term: 3}}})
 		c := &call{gateway: g}
 		c.workspace = &access.Workspace{ID: "red"}
-		_, ok := c.askLeader(t.Context(), quota.Shard(1))
+		_, ok := c.queryLeader(t.Context(), quota.Shard(1))
 		assert.Check(t, !ok)
 	})
-	t.Run("a link is silent for as long", func(t *testing.T) {
+	t.Run("link times out", func(t *testing.T) {
 		g := newLoneGateway()
 		l := &controllerLink{gateway: g}
 		l.reconnect(&jsonrpc2.Conn{})
@@ -62,7 +62,7 @@
 		boottime.Suspend(enginelink.HeartbeatTimeout)
 		assert.Check(t, !g.engines.anyUp())
 	})
-	t.Run("an upstream gets what is left of the caller's time", func(t *testing.T) {
+	t.Run("upstream gets the rest of the caller's deadline", func(t *testing.T) {
 		g := newLoneGateway()
 		c := &call{gateway: g}
 		c.begin(httpRequest(t, "2000"))
@@ -70,11 +70,11 @@
 		c.route, c.service = &route.Route{Timeout: 10 * time.Second}, &route.Service{}
 		assert.Assert(t, c.readDeadline())
 		boottime.Suspend(1500 * time.Millisecond)
-		sent := c.upstreamRequest(&sandbarrow.Instance{ID: "u"}, 0).Header.Get(testNames.Deadline)
-		left, err := strconv.Atoi(sent)
+		text := c.upstreamRequest(&sandbarrow.Instance{ID: "u"}, 0).Header.Get(testNames.Deadline)
+		timeLeft, err := strconv.Atoi(text)
 		assert.NilError(t, err)
-		assert.Check(t, left <= 500, "%d ms left of 2000, 1500 later", left)
-		assert.Check(t, c.left() <= 500*time.Millisecond)
+		assert.Check(t, timeLeft <= 500, "%d ms left of 2000, 1500 later", timeLeft)
+		assert.Check(t, c.timeLeft() <= 500*time.Millisecond)
 	})
 }
 
@@ -85,7 +85,7 @@
 	return q
 }
 
-// switchedReader reads from a store, or fails where it has none.
+// switchedReader reads from a store, or fails if it has none.
 type switchedReader struct {
 	mu    sync.Mutex
 	store estate.Reader
--- a/gateway/trust.go
+++ b/gateway/trust.go
@@ -10,29 +10,30 @@
 	"sandbarrow.example/sandbarrow/internal/pause"
 )
 
-// This file answers until when this gateway may serve callers by their keys under the
-// configuration that it has: a key may have been withdrawn where it can't see it.
+// This file decides how long this gateway may serve callers by their keys under its current
+// configuration. A key may have been revoked in a version that it can't read.
 
 const (
-	// trustShare is the share of the operators' bound for which a configuration is trusted after it
-	// was known to be the newest; the rest is for clocks that run at slightly other speeds.
+	// trustShare is the fraction of the operators' bound for which a configuration is trusted after
+	// it was confirmed to be the newest. The rest allows for clocks that run at slightly different
+	// speeds.
 	trustShare = 0.85
-	// confirmPause is the pause between two looks whether a confirmation is due: short against
-	// confirmAfter.
+	// confirmPause is the pause between two checks for a due confirmation. It is short compared
+	// with confirmAfter.
 	confirmPause = 100 * time.Millisecond
-	// confirmAfter is the age at which a confirmation is asked for anew, of the controller that
-	// keeps one for all: several tries fit into the bound.
+	// confirmAfter is the age at which a new confirmation is requested from the controller that
+	// keeps one for all gateways. Several attempts fit into the bound.
 	confirmAfter = 700 * time.Millisecond
-	// confirmAlone is the age at which this gateway asks the store itself, since that controller
-	// does not answer or has none.
-	confirmAlone = 1600 * time.Millisecond
-	// confirmTimeout bounds one question.
+	// confirmFromStoreAfter is the age at which this gateway queries the store itself, because that
+	// controller does not reply or has no confirmation.
+	confirmFromStoreAfter = 1600 * time.Millisecond
+	// confirmTimeout bounds one query.
 	confirmTimeout = 500 * time.Millisecond
 )
 
-// mayTrust decides whether a configuration may be trusted that was known to be the newest
-// so long ago. A bound of 0 trusts the last one known for ever.
-func mayTrust(age, bound time.Duration) bool {
+// isTrusted decides whether a configuration may be trusted whose last confirmation has the given
+// age. With a bound of 0, the last known configuration is always trusted.
+func isTrusted(age, bound time.Duration) bool {
 	return bound <= 0 || age < time.Duration(trustShare*float64(bound))
 }
 
@@ -42,10 +43,10 @@
 		return true
 	}
 	confirmed, _ := g.estate.Confirmed()
-	return mayTrust(now.Sub(confirmed), g.config.RevokeBound)
+	return isTrusted(now.Sub(confirmed), g.config.RevokeBound)
 }
 
-// needsTrust reports whether the configuration has keys that may be withdrawn.
+// needsTrust reports whether the configuration has keys that may be revoked.
 func (g *Gateway) needsTrust() bool {
 	if g.config.RevokeBound <= 0 {
 		return false
@@ -54,8 +55,8 @@
 	return view != nil && view.Table.Keys != nil
 }
 
-// trustAttributes describe for how long the configuration has not been known as the
-// newest; none where that decides nothing.
+// trustAttributes returns the log attribute of the time since the configuration was confirmed.
+// There is none if that time decides nothing.
 func (g *Gateway) trustAttributes() []slog.Attr {
 	if !g.needsTrust() {
 		return nil
@@ -64,8 +65,9 @@
 	return []slog.Attr{slog.Int64("confirmed_ms", boottime.Since(confirmed).Milliseconds())}
 }
 
-// stateAttributes describe how new the operators' state is by which a request had no route:
-// up to which revision it is complete, and for how long the store has answered nothing.
+// stateAttributes returns log attributes of the age of the operators' state under which a request
+// had no route: the revision up to which it is complete, and the time since the store last
+// responded.
 func (g *Gateway) stateAttributes() []slog.Attr {
 	complete, _ := g.estate.Mark()
 	return []slog.Attr{
@@ -73,8 +75,8 @@
 	}
 }
 
-// answeredSeconds is how long ago the store last answered about the operators' state, in
-// seconds; -1 where it never did.
+// answeredSeconds returns the time in seconds since the store last responded to a read of the
+// operators' state; -1 if it never did.
 func (g *Gateway) answeredSeconds() float64 {
 	answered := g.estate.Answered()
 	if answered.IsZero() {
@@ -83,7 +85,7 @@
 	return time.Since(answered).Seconds()
 }
 
-// sinceMS is how long ago a time was, in milliseconds; -1 for the zero time.
+// sinceMS returns the time since t in milliseconds; -1 for the zero time.
 func sinceMS(t time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -91,7 +93,7 @@
 	return time.Since(t).Milliseconds()
 }
 
-// revisionInForce is the store's revision of the configuration in force, 0 before the first.
+// revisionInForce returns the store's revision of the configuration in force, 0 before the first.
 func (g *Gateway) revisionInForce() float64 {
 	view := g.estate.View()
 	if view == nil {
@@ -105,8 +107,8 @@
 	return float64(g.directory.Mark().Era())
 }
 
-// confirmedSeconds is how long ago the configuration was known to be the newest, in
-// seconds; -1 where it never was.
+// confirmedSeconds returns the time in seconds since the configuration was confirmed to be the
+// newest; -1 if it never was.
 func (g *Gateway) confirmedSeconds() float64 {
 	confirmed, _ := g.estate.Confirmed()
 	if confirmed.IsZero() {
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// confirm asks whether the configuration is the newest, where that is due.
+// confirm checks whether the configuration is the newest, if a check is due.
 func (g *Gateway) confirm(ctx context.Context) {
 	confirmed, _ := g.estate.Confirmed()
 	age := boottime.Since(confirmed)
@@ -135,8 +137,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if age < confirmAlone {
-		if rpc := g.leads.confirmer(); rpc != nil {
+	if age < confirmFromStoreAfter {
+		if rpc := g.leaders.confirmer(); rpc != nil {
 			if err := enginelink.Fetch(ctx, rpc, g.estate); err != nil {
 				g.logger.Debug("configuration not confirmed by a controller", "error", err.Error())
 			}
--- a/gateway/unreportedpin_test.go
+++ b/gateway/unreportedpin_test.go
@@ -15,15 +15,15 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// testController is the far end of a link, which sends no status by itself.
+// testController is the far end of a link. It sends a status only when the test does.
 type testController struct {
 	link *controllerLink
 	rpc  *jsonrpc2.Conn
-	// methods gets the method of each message.
+	// methods receives the method of each message.
 	methods chan string
 }
 
-func linkedTo(t *testing.T, l *controllerLink) *testController {
+func connectTestController(t *testing.T, l *controllerLink) *testController {
 	t.Helper()
 	near, far := net.Pipe()
 	c := &testController{link: l, methods: make(chan string, 100)}
@@ -50,12 +50,12 @@
 	}
 }
 
-// send takes the adapter without the controller, as a request does while its link is not
-// usable.
-func (c *testController) send(t *testing.T) *call {
+// pinWithoutController pins the adapter without the controller, as a request does while its link is
+// not usable.
+func (c *testController) pinWithoutController(t *testing.T) *call {
 	t.Helper()
 	q := callFor(c.link.gateway, "a", 100)
-	q.id, q.ends = "1", q.began.Add(time.Second)
+	q.id, q.deadline = "1", q.began.Add(time.Second)
 	e := &candidate{instance: &sandbarrow.Instance{ID: "e0"}, link: c.link, linkView: c.link.view(boottime.Now(), q)}
 	assert.Assert(t, !e.linked)
 	_, granted := q.acquire(t.Context(), e, 100*time.Millisecond)
@@ -63,24 +63,24 @@
 	return q
 }
 
-func TestPinBeforeTheFirstStatusIsReported(t *testing.T) {
+func TestPinBeforeFirstStatusIsReported(t *testing.T) {
 	l := &controllerLink{gateway: newChoosingGateway(t)}
-	l.applyStatus(statusWithWeights(oldWeights)) // of the last connection
-	c := linkedTo(t, l)
-	c.send(t)
+	l.applyStatus(statusWithWeights(oldWeights)) // from the last connection
+	c := connectTestController(t, l)
+	c.pinWithoutController(t)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
 	c.expect(t, enginelink.MethodUsing)
 }
 
-func TestPinDuringASilenceIsReported(t *testing.T) {
+func TestPinDuringHeartbeatTimeoutIsReported(t *testing.T) {
 	l := &controllerLink{gateway: newChoosingGateway(t)}
-	c := linkedTo(t, l)
+	c := connectTestController(t, l)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
 	eventually(t, func() bool { return l.view(boottime.Now(), callFor(l.gateway, "a", 1)).linked })
 	l.mu.Lock()
-	l.lastContact = boottime.Now().Add(-enginelink.HeartbeatTimeout) // the last status is old, the connection still there
+	l.lastContact = boottime.Now().Add(-enginelink.HeartbeatTimeout) // the last status is old, but the connection is still open
 	l.mu.Unlock()
-	c.send(t)
+	c.pinWithoutController(t)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
 	c.expect(t, enginelink.MethodUsing)
 }
--- a/gateway/upstreams.go
+++ b/gateway/upstreams.go
@@ -15,22 +15,22 @@
 	"sandbarrow.example/sandbarrow/throttle"
 )
 
-// upstreams is what this gateway knows of upstreams, beside the list. It is safe for concurrent
-// use.
+// upstreams is the state of upstreams beyond what the list contains. It is safe for concurrent use.
 type upstreams struct {
 	gateway *Gateway
-	// limits says that a limit is known, so that nothing need be looked up where none is.
+	// limits is set if any limit is known. Without one, lookups are skipped.
 	limits atomic.Bool
 
 	mu    sync.Mutex
 	table availability.Table
-	// waiting are the calls that wait at an upstream before they send it anything.
+	// waiting holds the calls that wait at an upstream before they send it a request, with the
+	// functions that cancel the waits.
 	waiting map[sandbarrow.InstanceID]map[*call]func()
 }
 
-// await calls stop once an upstream announces that it accepts no requests, so that the call need
-// not wait there in vain. It returns what ends that.
-func (u *upstreams) await(id sandbarrow.InstanceID, c *call, stop func()) (end func()) {
+// cancelWhenBlocked calls stop once an upstream announces that it accepts no requests, so that the
+// call does not wait there in vain. The returned function ends this.
+func (u *upstreams) cancelWhenBlocked(id sandbarrow.InstanceID, c *call, stop func()) (end func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.waiting[id] == nil {
@@ -47,15 +47,15 @@
 	}
 }
 
-// stopWaiting ends the waits at an upstream. The caller holds mu.
-func (u *upstreams) stopWaiting(id sandbarrow.InstanceID) {
+// cancelWaits cancels the waits at an upstream. The caller holds mu.
+func (u *upstreams) cancelWaits(id sandbarrow.InstanceID) {
 	for _, stop := range u.waiting[id] {
 		stop()
 	}
 }
 
-// look decides whether a request may be sent to an upstream now, and else when.
-func (u *upstreams) look(now time.Time, in *sandbarrow.Instance, r availability.Report) availability.Check {
+// check decides whether a request may be sent to an upstream now, and if not, when.
+func (u *upstreams) check(now time.Time, in *sandbarrow.Instance, r availability.Report) availability.Check {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.table.Check(now, in, r)
@@ -70,7 +70,7 @@
 	return accepts
 }
 
-// drains reports whether an upstream ends as planned, by the list or by its own word.
+// drains reports whether an upstream drains, by the list or by its own notice.
 func (u *upstreams) drains(in *sandbarrow.Instance) bool {
 	listed := u.gateway.directory.View().Find(in)
 	if listed == nil {
@@ -82,48 +82,48 @@
 	return why == availability.Draining
 }
 
-// begin counts a request that is sent.
-func (u *upstreams) begin(id sandbarrow.InstanceID) {
+// beginRequest counts a request that is sent.
+func (u *upstreams) beginRequest(id sandbarrow.InstanceID) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.table.Outcomes.Begin(boottime.Now(), id)
 }
 
-// end counts the outcome of a request.
-func (u *upstreams) end(id sandbarrow.InstanceID, failed bool) {
+// endRequest counts the outcome of a request.
+func (u *upstreams) endRequest(id sandbarrow.InstanceID, failed bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.table.End(boottime.Now(), id, failed)
 }
 
-// observe reads what an upstream announces in its answer to a request sent at a time. The answer of
-// another instance says nothing.
-func (u *upstreams) observe(in *sandbarrow.Instance, sent time.Time, a *forward.Answer) {
+// observeResponse reads the notices in an upstream's response to a request sent at a time. It
+// ignores the response of another instance.
+func (u *upstreams) observeResponse(in *sandbarrow.Instance, sent time.Time, a *forward.Answer) {
 	if name := a.Header.Get(u.gateway.config.Headers.Instance); name != "" && sandbarrow.ListedID(name) != in.ID.Listed() {
 		return
 	}
-	announced, err := u.gateway.config.Announcements.Read(a.Status, a.Header)
+	notice, err := u.gateway.config.Announcements.Read(a.Status, a.Header)
 	if err != nil {
 		u.gateway.logger.Warn("announcement of an upstream not read", "upstream", string(in.ID), "error", err.Error())
 	} else {
-		u.observeLimit(in.ID, sent, a.Status, announced.Limit)
+		u.observeLimit(in.ID, sent, a.Status, notice.Limit)
 	}
 	u.mu.Lock()
-	change := u.table.Notices.Apply(boottime.Now(), in.ID, a.Status, announced)
+	change := u.table.Notices.Apply(boottime.Now(), in.ID, a.Status, notice)
 	if change.Backoff || change.Draining {
-		u.stopWaiting(in.ID)
+		u.cancelWaits(in.ID)
 	}
 	u.mu.Unlock()
 	if change.Draining {
 		u.gateway.logger.Info("upstream announces that it drains", "upstream", string(in.ID), "address", in.Address, "listed_draining", in.Draining)
 	}
 	if change.Backoff {
-		u.gateway.logger.Info("upstream wants no requests", "upstream", string(in.ID), "address", in.Address, "backoff_ms", announced.Backoff.Milliseconds())
+		u.gateway.logger.Info("upstream wants no requests", "upstream", string(in.ID), "address", in.Address, "backoff_ms", notice.Backoff.Milliseconds())
 	}
 }
 
-// noteUnsent notes what a request that could not be sent shows of its upstream.
-func (u *upstreams) noteUnsent(in *sandbarrow.Instance, err error) {
+// recordUnsent records what a failed connection shows about its upstream.
+func (u *upstreams) recordUnsent(in *sandbarrow.Instance, err error) {
 	if !errors.Is(err, forward.ErrNothingListens) {
 		return
 	}
@@ -132,29 +132,30 @@
 	u.table.Notices.Exited(boottime.Now(), in.ID)
 }
 
-// observeLimit applies the limit that an upstream names in an answer; nil where it names none.
+// observeLimit applies the limit that an upstream names in a response; named is nil if it names
+// none.
 func (u *upstreams) observeLimit(id sandbarrow.InstanceID, sent time.Time, status int, named *sandbarrow.RequestRate) {
 	if named == nil && !u.limits.Load() {
 		return
 	}
 	now := boottime.Now()
-	said, says := throttle.LimitFromResponse(now, sent, status, named)
-	if !says {
+	limit, known := throttle.LimitFromResponse(now, sent, status, named)
+	if !known {
 		return
 	}
 	u.mu.Lock()
-	changed := u.table.Gates.Apply(now, id, said)
+	changed := u.table.Gates.Apply(now, id, limit)
 	u.limits.Store(!u.table.Gates.Empty())
 	record, _ := u.table.Gates.Record(now, id)
 	u.mu.Unlock()
 	if changed {
 		u.logLimit(record)
-		u.gateway.permits.keepers.Report(enginelink.Sent{Record: record})
+		u.gateway.permits.coordinators.Report(enginelink.Sent{Record: record})
 	}
 }
 
-// learnLimit applies what others say of an upstream's limit.
-func (u *upstreams) learnLimit(r throttle.Record) {
+// mergeLimit merges a record of an upstream's limit from another process.
+func (u *upstreams) mergeLimit(r throttle.Record) {
 	u.mu.Lock()
 	changed := u.table.Gates.Merge(boottime.Now(), r)
 	u.limits.Store(!u.table.Gates.Empty())
@@ -178,8 +179,8 @@
 	return u.table.Gates.InForce(boottime.Now(), id)
 }
 
-// beginAsk notes that a request asks for a send, where it needs to and may.
-func (u *upstreams) beginAsk(id sandbarrow.InstanceID) (record throttle.Record, need, may bool) {
+// beginPermitRequest records that a request asks for a permit, if it needs one and may have it.
+func (u *upstreams) beginPermitRequest(id sandbarrow.InstanceID) (record throttle.Record, need, may bool) {
 	if !u.limits.Load() {
 		return record, false, true
 	}
@@ -188,17 +189,17 @@
 	return u.table.Gates.Begin(boottime.Now(), id)
 }
 
-// endAsk notes what came of asking for a send within a time.
-func (u *upstreams) endAsk(id sandbarrow.InstanceID, g *enginelink.SendGrant, within time.Duration) {
+// endPermitRequest records the result of a request for a permit within a time.
+func (u *upstreams) endPermitRequest(id sandbarrow.InstanceID, g *enginelink.SendGrant, within time.Duration) {
 	if g.Limit != nil {
-		u.learnLimit(*g.Limit)
+		u.mergeLimit(*g.Limit)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.table.Gates.End(boottime.Now(), id, throttle.Grant{Granted: g.Granted, Wait: time.Duration(g.WaitMS) * time.Millisecond}, within)
 }
 
-// notice returns what an upstream has announced.
+// notice returns the notice of an upstream that is in force.
 func (u *upstreams) notice(now time.Time, id sandbarrow.InstanceID) availability.Notice {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -220,7 +221,7 @@
 	return float64(n)
 }
 
-// backingOff counts the upstreams that want no requests now.
+// backingOff counts the upstreams that are in backoff.
 func (u *upstreams) backingOff() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/gateway/workspace_test.go
+++ b/gateway/workspace_test.go
@@ -19,8 +19,8 @@
 	"sandbarrow.example/sandbarrow/route"
 )
 
-// red and blue are two workspaces without limits.
-func redAndBlue() []access.Entry {
+// redAndBlueWorkspaces returns two workspaces without limits.
+func redAndBlueWorkspaces() []access.Entry {
 	return []access.Entry{
 		{Keys: []string{"red-key"}, Workspace: access.Workspace{ID: "red"}},
 		{Keys: []string{"blue-key"}, Workspace: access.Workspace{ID: "blue"}},
@@ -37,9 +37,9 @@
 	return r
 }
 
-func TestWorkspaceOfTheKey(t *testing.T) {
+func TestWorkspaceIsSetFromKey(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.configure(t, plainRoute(route.KindSafe), streamRoute(true), publicRoute())
 	forged := withKey("red-key")
 	forged["t-workspace"], forged["X-T-Workspace"] = "blue", "blue"
@@ -68,10 +68,10 @@
 	}
 }
 
-// A caller without a known key is refused, and its request is sent nowhere.
-func TestUnknownKey(t *testing.T) {
+// A caller without a known key is refused, and its request is sent to no upstream.
+func TestUnknownKeyIsRefused(t *testing.T) {
 	f := newFleet(t, 0, 1)
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.configure(t, plainRoute(route.KindSafe))
 	for _, header := range []map[string]string{nil, withKey("green-key"), {"Authorization": "red-key"}, {"Authorization": "Basic red-key"}} {
 		got := f.send(t.Context(), http.MethodPost, "/p/x", header)
@@ -83,10 +83,10 @@
 	assert.Equal(t, len(f.runners[0].runs()), 0)
 }
 
-// A key that is withdrawn is refused, one that is added is served.
-func TestKeysChange(t *testing.T) {
+// A revoked key is refused, and an added one is accepted.
+func TestKeyChangesApplyToNextRequest(t *testing.T) {
 	f := newFleet(t, 0, 1)
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.configure(t, plainRoute(route.KindSafe))
 	assert.Equal(t, f.send(t.Context(), http.MethodPost, "/p/x", withKey("red-key")).status, http.StatusOK)
 	f.workspaces[0].Keys = []string{"red-key-2"}
@@ -95,28 +95,28 @@
 	assert.Equal(t, f.send(t.Context(), http.MethodPost, "/p/x", withKey("red-key-2")).status, http.StatusOK)
 }
 
-func TestKeyWithdrawnWhileTheRequestWaited(t *testing.T) {
+func TestRevokedKeyIsRefusedBeforeSend(t *testing.T) {
 	f := newFleet(t, 0, 1)
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.configure(t, plainRoute(route.KindSafe))
 	c := &call{gateway: f.gateway}
 	c.request, _ = http.NewRequest(http.MethodPost, "/p/x", http.NoBody)
 	c.request.Header.Set("Authorization", "Bearer red-key")
 	c.view = f.gateway.estate.View()
 	c.workspace = c.findWorkspace(c.view.Table.Keys)
-	assert.Equal(t, c.forbidden(), reason(""))
+	assert.Equal(t, c.recheckKey(), reason(""))
 	f.workspaces[0].Keys, f.workspaces[1].Keys = nil, []string{"red-key"}
 	f.configure(t, plainRoute(route.KindSafe))
-	assert.Equal(t, c.forbidden(), reason(""))
+	assert.Equal(t, c.recheckKey(), reason(""))
 	assert.Equal(t, c.workspace.ID, sandbarrow.WorkspaceID("blue"))
 	f.workspaces[1].Keys = nil
 	f.configure(t, plainRoute(route.KindSafe))
-	assert.Equal(t, c.forbidden(), reasonUnknownKey)
+	assert.Equal(t, c.recheckKey(), reasonUnknownKey)
 }
 
-func TestWorkspaceOverItsLimitIsRefused(t *testing.T) {
+func TestWorkspaceOverLimitIsRefused(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.workspaces[0].Workspace.Limit = access.Limit{Burst: 4, PerSecond: 4, Unit: access.UnitRequests}
 	f.workspaces[1].Workspace.Limit = access.Limit{Burst: 10_000, PerSecond: 10_000, Unit: access.UnitRequests}
 	f.configure(t, plainRoute(route.KindUnsafe))
@@ -142,8 +142,8 @@
 func (f *fleet) awaitLeaders(t *testing.T) {
 	t.Helper()
 	eventually(t, func() bool {
-		for s := range f.gateway.leads.needed() {
-			if l, _ := f.gateway.leads.leader(s); l == nil {
+		for s := range f.gateway.leaders.needed() {
+			if l, _ := f.gateway.leaders.leader(s); l == nil {
 				return false
 			}
 		}
@@ -151,34 +151,34 @@
 	})
 }
 
-func TestOtherPartServesWhileALeaderIsLost(t *testing.T) {
+func TestOtherLimitShareServesAfterLeaderLoss(t *testing.T) {
 	f := newFleet(t, 3, 1)
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.workspaces[0].Workspace.Limit = access.Limit{Burst: 1000, PerSecond: 1000, Unit: access.UnitRequests}
 	f.configure(t, plainRoute(route.KindUnsafe))
 	f.awaitLeaders(t)
 	shards := quota.ShardsOf("red")
-	lead, term := f.gateway.leads.leader(shards[0])
+	lead, term := f.gateway.leaders.leader(shards[0])
 	lead.cancel() // the link to the leader breaks for good
-	eventually(t, func() bool { l, _ := f.gateway.leads.leader(shards[0]); return l != lead })
-	if other, _ := f.gateway.leads.leader(shards[1]); other != nil {
+	eventually(t, func() bool { l, _ := f.gateway.leaders.leader(shards[0]); return l != lead })
+	if other, _ := f.gateway.leaders.leader(shards[1]); other != nil {
 		assert.Equal(t, f.send(t.Context(), http.MethodPost, "/p/x", withKey("red-key")).status, http.StatusOK)
 	}
-	// The leader holds its lease as long as it renews it, so take its key away as well.
+	// The leader keeps its lease as long as it renews it, so its key is removed as well.
 	_, err := f.store.Commit(t.Context(), sandbarrow.Transaction{Remove: []string{fmt.Sprintf("sandbarrow/quota/%d", shards[0])}})
 	assert.NilError(t, err)
-	eventually(t, func() bool { l, now := f.gateway.leads.leader(shards[0]); return l != nil && now > term })
+	eventually(t, func() bool { l, now := f.gateway.leaders.leader(shards[0]); return l != nil && now > term })
 }
 
-// unreachable is a store that can be read until it is cut off.
-type unreachable struct {
+// cuttableStore is a store that can be read until it is cut off.
+type cuttableStore struct {
 	cut   atomic.Bool
 	store interface {
 		Get(ctx context.Context, key string) (sandbarrow.Item, error)
 	}
 }
 
-func (u *unreachable) Get(ctx context.Context, key string) (sandbarrow.Item, error) {
+func (u *cuttableStore) Get(ctx context.Context, key string) (sandbarrow.Item, error) {
 	if u.cut.Load() {
 		return sandbarrow.Item{}, errors.New("cut off")
 	}
@@ -186,14 +186,14 @@
 }
 
 func TestStaleConfigurationRefusesCallersWithKeys(t *testing.T) {
-	u := &unreachable{}
+	u := &cuttableStore{}
 	f := newFleetWith(t, 0, 1, func(c *Config) {
 		u.store, _ = c.Store.(interface {
 			Get(ctx context.Context, key string) (sandbarrow.Item, error)
 		})
 		c.RevokeBound, c.TableStore = 2*time.Second, u
 	})
-	f.workspaces = redAndBlue()
+	f.workspaces = redAndBlueWorkspaces()
 	f.configure(t, plainRoute(route.KindSafe), publicRoute())
 	assert.Equal(t, f.send(t.Context(), http.MethodPost, "/p/x", withKey("red-key")).status, http.StatusOK)
 	u.cut.Store(true)
@@ -210,8 +210,8 @@
 	})
 }
 
-func TestMayTrust(t *testing.T) {
-	assert.Assert(t, mayTrust(time.Hour, 0))
-	assert.Assert(t, mayTrust(4*time.Second, 5*time.Second))
-	assert.Assert(t, !mayTrust(4500*time.Millisecond, 5*time.Second))
+func TestConfigurationTrustExpires(t *testing.T) {
+	assert.Assert(t, isTrusted(time.Hour, 0))
+	assert.Assert(t, isTrusted(4*time.Second, 5*time.Second))
+	assert.Assert(t, !isTrusted(4500*time.Millisecond, 5*time.Second))
 }
