--- a/directory/directory.go
+++ b/directory/directory.go
@@ -75,7 +75,7 @@
 	for id, l := range d.entries {
 		items = append(items, l.item)
 		if _, lapsed := d.lapsed[id]; lapsed {
-			items = append(items, sandbarrow.KeyItem{Key: l.item.Key, Gone: true, Revision: d.at})
+			items = append(items, sandbarrow.KeyItem{Key: l.item.Key, Deleted: true, Revision: d.at})
 		}
 	}
 	return items, d.at
@@ -131,7 +131,7 @@
 // it differs by more than a heartbeat. The caller holds mu.
 func (d *Directory) apply(id sandbarrow.ListedID, it sandbarrow.KeyItem, instance sandbarrow.Instance) bool {
 	old, known := d.entries[id]
-	known = known && old.instance.ID.Is(instance.ID) // one that has started again is a new one
+	known = known && old.instance.ID.Matches(instance.ID) // one that has started again is a new one
 	if !known {
 		d.newest = boottime.Now()
 	}
--- a/enginelink/messages.go
+++ b/enginelink/messages.go
@@ -228,7 +228,7 @@
 	MostWaiting int `json:"most_waiting,omitempty"`
 	Priority    int `json:"priority"`
 	// Stretches are those of the prompt, for an estimate of what the engine keeps of it.
-	Stretches []promptcache.Stretch `json:"stretches,omitempty"`
+	Stretches []promptcache.PromptPrefix `json:"stretches,omitempty"`
 	Tokens    int                   `json:"tokens"`
 	// UsefulMS is how long a grant still lets the answer be in time, in
 	// milliseconds; it may be negative.
--- a/gateway/acquirequota.go
+++ b/gateway/acquirequota.go
@@ -68,7 +68,7 @@
 		case reply.granted:
 			c.gateway.metrics.quotaDecided(c, "granted")
 			return true
-		case reply.refusals == quota.Parts && !reply.newLeader, reply.refusals > 0 && !reply.newLeader && c.quota.waited > c.route.Objective/2,
+		case reply.refusals == quota.LimitShares && !reply.newLeader, reply.refusals > 0 && !reply.newLeader && c.quota.waited > c.route.Objective/2,
 			reply.refusals > 0 && !time.Now().Before(until):
 			c.gateway.metrics.quotaDecided(c, "refused")
 			c.refuseWithRetryAfter(http.StatusTooManyRequests, reasonLimit, jitter(max(reply.retryAfter, minQuotaRetry)))
@@ -97,9 +97,9 @@
 func (c *call) queryShares(ctx context.Context) sharesReply {
 	var combined sharesReply
 	shards := quota.ShardsOf(c.workspace.ID)
-	first := rand.IntN(quota.Parts)
+	first := rand.IntN(quota.LimitShares)
 	for i := range shards {
-		reply, ok := c.queryLeader(ctx, shards[(first+i)%quota.Parts])
+		reply, ok := c.queryLeader(ctx, shards[(first+i)%quota.LimitShares])
 		switch {
 		case !ok:
 		case reply.Granted:
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -24,7 +24,7 @@
 	callerRequest
 	attempts
 	// crashDecision is the result of the last check for upstreams that crashed under the request.
-	crashDecision crash.Verdict
+	crashDecision crash.Decision
 	// blocked is what the call has found out about upstreams that currently accept no requests.
 	blocked blockedUpstreams
 	quota   quotaRequest
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -51,7 +51,7 @@
 	callerDeadline, deadline time.Time
 
 	key            sandbarrow.AdapterKey
-	promptPrefixes []promptcache.Stretch
+	promptPrefixes []promptcache.PromptPrefix
 	// tokens is the length of the prompt; 0 if the caller does not name it.
 	tokens int
 	// version is the oldest version of the adapter that may run. It is 0 for a request for a base
@@ -145,7 +145,7 @@
 	names := &c.gateway.config.Headers
 	model, adapter, _ := strings.Cut(c.request.Header.Get(names.Model), "/")
 	c.key = sandbarrow.AdapterKey{Adapter: sandbarrow.AdapterID(adapter), Model: sandbarrow.BaseModelID(model)}
-	c.promptPrefixes = promptcache.Stretches(c.key, c.request.Header.Get(names.Prompt))
+	c.promptPrefixes = promptcache.PromptPrefixes(c.key, c.request.Header.Get(names.Prompt))
 	c.version = c.minVersion()
 	c.tokens = c.readTokens(c.request.Header.Get(names.Tokens))
 	c.lastEvent = c.request.Header.Get(names.LastEvent)
--- a/gateway/crashstore.go
+++ b/gateway/crashstore.go
@@ -76,7 +76,7 @@
 // Update merges records that gateways have written.
 func (s *crashStore) Update(items []sandbarrow.KeyItem, _ sandbarrow.StoreRevision) {
 	for _, it := range items {
-		if it.Gone {
+		if it.Deleted {
 			continue // each Log expires its records by itself
 		}
 		var r storedRecord
@@ -101,8 +101,8 @@
 	if s.gateway.engines.anyUp() {
 		minCrashes = minStoredCrashes
 	}
-	records, next := s.gateway.crashes.Noted(s.sequence)
-	records = slices.DeleteFunc(records, func(r crash.Record) bool { return r.Open() < minCrashes && !s.written[r.Fingerprint] })
+	records, next := s.gateway.crashes.LocalSince(s.sequence)
+	records = slices.DeleteFunc(records, func(r crash.Record) bool { return r.Uncleared() < minCrashes && !s.written[r.Fingerprint] })
 	for chunk := range slices.Chunk(records, maxKeysPerWrite) {
 		if !s.write(ctx, chunk) {
 			return
@@ -148,7 +148,7 @@
 	s.staleKeys = nil
 	s.mu.Unlock()
 	for f := range s.written {
-		if !s.gateway.crashes.Knows(f) {
+		if !s.gateway.crashes.Contains(f) {
 			remove = append(remove, s.key(f))
 			delete(s.written, f)
 		}
--- a/gateway/crashsync_test.go
+++ b/gateway/crashsync_test.go
@@ -24,7 +24,7 @@
 // addFatalCrashes records the given number of upstream crashes under one request at a gateway.
 func addFatalCrashes(g *Gateway, count int) {
 	for i := range count {
-		g.crashes.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), fatalFingerprint)
+		g.crashes.AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), fatalFingerprint)
 	}
 }
 
@@ -58,14 +58,14 @@
 	eventually(t, func() bool { return len(first.engines.upLinks(boottime.Now())) == 3 })
 	addFatalCrashes(first, 3)
 	began := time.Now()
-	eventually(t, func() bool { return f.gateway.crashes.Judge(fatalFingerprint, 100).Refused })
+	eventually(t, func() bool { return f.gateway.crashes.Decide(fatalFingerprint, 100).Refused })
 	assert.Assert(t, time.Since(began) < time.Second)
 	stop()
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	go func() { _ = f.gateway.ServePeers(t.Context(), peers) }()
 	late := f.addGateway(t.Context(), t, func(c *Config) { c.Store, c.Peers = downStore{}, []string{peers.Addr().String()} })
-	eventually(t, func() bool { return late.crashes.Judge(fatalFingerprint, 100).Refused })
+	eventually(t, func() bool { return late.crashes.Decide(fatalFingerprint, 100).Refused })
 	received := false
 	for _, l := range late.engines.upLinks(boottime.Now()) {
 		records, _ := late.crashes.Since(0, l)
@@ -86,11 +86,11 @@
 	}
 	a, b := newGateway("a"), newGateway("b")
 	addFatalCrashes(a, 2)
-	eventually(t, func() bool { return b.crashes.Judge(fatalFingerprint, 100).Ends == 2 })
-	b.crashes.Note("u9", boottime.Now(), fatalFingerprint)
-	eventually(t, func() bool { return a.crashes.Judge(fatalFingerprint, 100).Refused })
+	eventually(t, func() bool { return b.crashes.Decide(fatalFingerprint, 100).Crashes == 2 })
+	b.crashes.AddCrash("u9", boottime.Now(), fatalFingerprint)
+	eventually(t, func() bool { return a.crashes.Decide(fatalFingerprint, 100).Refused })
 	c := newGateway("c")
-	eventually(t, func() bool { return c.crashes.Judge(fatalFingerprint, 100).Refused })
+	eventually(t, func() bool { return c.crashes.Decide(fatalFingerprint, 100).Refused })
 
 	expired := []byte(`{"fingerprint":"` + fatalFingerprint.String() + `","crashes":[{"upstream":"u1","age_ms":1}],"written":1000}`)
 	_, err := shared.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{crashPrefix + "old/gone": expired, crashPrefix + "odd": []byte("{")}})
@@ -135,9 +135,9 @@
 	addFatalCrashes(informed, 3)
 	other := newLoneGateway("127.0.0.1:1", peers.Addr().String())
 	go func() { _ = newCrashSync(other).run(t.Context()) }()
-	eventually(t, func() bool { return other.crashes.Judge(fatalFingerprint, 100).Refused })
+	eventually(t, func() bool { return other.crashes.Decide(fatalFingerprint, 100).Refused })
 	other.crashes.Clear(fatalFingerprint)
-	eventually(t, func() bool { return !informed.crashes.Judge(fatalFingerprint, 100).Refused })
+	eventually(t, func() bool { return !informed.crashes.Decide(fatalFingerprint, 100).Refused })
 }
 
 func TestFatalRequestIsRefused(t *testing.T) {
@@ -147,7 +147,7 @@
 	c.request, _ = http.NewRequest(http.MethodPost, f.url+"/p/x", nil)
 	c.request.Host, c.request.RequestURI, c.body = testHost, "/p/x", []byte("body")
 	for i := range 3 {
-		f.gateway.crashes.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), c.fingerprint())
+		f.gateway.crashes.AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), c.fingerprint())
 	}
 	got := f.send(t.Context(), http.MethodPost, "/p/x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
--- a/gateway/fatalrequest.go
+++ b/gateway/fatalrequest.go
@@ -34,7 +34,7 @@
 	if c.gateway.crashes.Empty() {
 		return false
 	}
-	c.crashDecision = c.gateway.crashes.Judge(c.fingerprint(), len(c.gateway.directory.View().All()))
+	c.crashDecision = c.gateway.crashes.Decide(c.fingerprint(), len(c.gateway.directory.View().All()))
 	return c.crashDecision.Refused
 }
 
@@ -44,7 +44,7 @@
 	if !c.crashesUpstreams() {
 		return true
 	}
-	c.refuseWithRetryAfter(http.StatusServiceUnavailable, reasonCrashesUpstreams, jitter(max(retryAfter, c.crashDecision.ForgottenIn)))
+	c.refuseWithRetryAfter(http.StatusServiceUnavailable, reasonCrashesUpstreams, jitter(max(retryAfter, c.crashDecision.ExpiresIn)))
 	return false
 }
 
@@ -63,10 +63,10 @@
 // delaySuspect delays a request under which several upstreams have crashed, before an upstream is
 // chosen for it.
 func (c *call) delaySuspect(ctx context.Context) {
-	if c.crashesUpstreams() || c.crashDecision.Ends < minSuspectCrashes {
+	if c.crashesUpstreams() || c.crashDecision.Crashes < minSuspectCrashes {
 		return
 	}
-	wait := min(suspectWait<<(c.crashDecision.Ends-minSuspectCrashes), c.timeLeft()/suspectWaitDivisor)
+	wait := min(suspectWait<<(c.crashDecision.Crashes-minSuspectCrashes), c.timeLeft()/suspectWaitDivisor)
 	pause.For(ctx, rand.N(max(1, wait)))
 }
 
@@ -89,11 +89,11 @@
 // crashAttributes returns the log attributes of upstreams that crashed under the request; none if
 // there were no crashes.
 func (c *call) crashAttributes() []slog.Attr {
-	if c.crashDecision.Ends == 0 {
+	if c.crashDecision.Crashes == 0 {
 		return nil
 	}
 	return []slog.Attr{
-		slog.String("fingerprint", c.fingerprint().String()), slog.Int("upstreams_ended", c.crashDecision.Ends), slog.Int("ends_needed", c.crashDecision.Needed),
-		slog.Int64("forgotten_s", int64(c.crashDecision.ForgottenIn/time.Second)),
+		slog.String("fingerprint", c.fingerprint().String()), slog.Int("upstreams_ended", c.crashDecision.Crashes), slog.Int("ends_needed", c.crashDecision.Needed),
+		slog.Int64("forgotten_s", int64(c.crashDecision.ExpiresIn/time.Second)),
 	}
 }
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -81,7 +81,7 @@
 	// Most engines have not loaded the adapter and so have nothing cached
 	// (BenchmarkChooseEngineForPrompt).
 	if v.weights.Model > 0 {
-		v.cached = l.cached.Kept(v.weights, c.promptPrefixes)
+		v.cached = l.cached.CachedTokens(v.weights, c.promptPrefixes)
 	}
 	return v
 }
@@ -95,10 +95,10 @@
 	if !l.usableLocked(now) || l.status.EngineUnreachable || l.status.Weights(c.key) != v {
 		return 0
 	}
-	if l.status.Instance != "" && !l.status.Instance.Is(in.ID) {
+	if l.status.Instance != "" && !l.status.Instance.Matches(in.ID) {
 		return 0
 	}
-	return l.cached.Kept(v, c.promptPrefixes)
+	return l.cached.CachedTokens(v, c.promptPrefixes)
 }
 
 // age returns the age of the last status.
@@ -177,7 +177,7 @@
 	defer l.mu.Unlock()
 	before = l.status.Loads
 	s.Expand(&l.status)
-	started := s.Instance != "" && l.instance != "" && !s.Instance.Is(l.instance)
+	started := s.Instance != "" && l.instance != "" && !s.Instance.Matches(l.instance)
 	if len(s.Models) == 0 || started {
 		l.engineMemory.Forget()
 	}
--- a/gateway/passresponse.go
+++ b/gateway/passresponse.go
@@ -107,7 +107,7 @@
 
 // pausedTooLong reports whether a pause between two events makes the response late.
 func (c *call) pausedTooLong(pause time.Duration) bool {
-	return c.route.LongestPause > 0 && pause > c.route.LongestPause
+	return c.route.EventGapTarget > 0 && pause > c.route.EventGapTarget
 }
 
 // reportPause reports that the engine has paused the stream for too long. Its controller then lets
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -176,7 +176,7 @@
 		fingerprints[i] = b.print
 		d.logExit(p, b)
 	}
-	d.gateway.crashes.Note(p.instance.ID, broken[0].at, fingerprints...)
+	d.gateway.crashes.AddCrash(p.instance.ID, broken[0].at, fingerprints...)
 }
 
 func (d *exitDetector) logExit(p *exitProbe, b brokenAttempt) {
--- a/gateway/upstreamexit_test.go
+++ b/gateway/upstreamexit_test.go
@@ -23,7 +23,7 @@
 	addBroken := func(i int) {
 		<-f.gateway.exits.addBroken(at(i), brokenAttempt{at: boottime.Now(), print: fatal, request: "r"})
 	}
-	exits := func() int { return f.gateway.crashes.Judge(fatal, 100).Ends }
+	exits := func() int { return f.gateway.crashes.Decide(fatal, 100).Crashes }
 	addBroken(0)
 	assert.Equal(t, exits(), 0, "it still accepts connections")
 	other := sandbarrow.Instance{Address: at(0).Address, ID: "another", Service: testPlain, Slots: 4}
--- a/gateway/upstreams_test.go
+++ b/gateway/upstreams_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestWaitIsCancelledOnceUpstreamIsBlocked(t *testing.T) {
-	for _, notice := range []sandbarrow.AnnouncementTexts{{Draining: "1"}, {Backoff: "1"}} {
+	for _, notice := range []sandbarrow.RawNotice{{Draining: "1"}, {Backoff: "1"}} {
 		g := newLoneGateway()
 		g.config.Announcements = platform.Announcements{}
 		in := &sandbarrow.Instance{ID: "u@1"}
