--- a/directory/anyorder_test.go
+++ b/directory/anyorder_test.go
@@ -11,13 +11,13 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// upstreamKeys are the keys of the histories; each has an address of its own.
+// upstreamKeys are the keys in the histories. Each has its own address.
 var upstreamKeys = []string{"a", "b", "c", "d"}
 
-// history is all that was written to the list; event i has revision i+1.
+// history is the sequence of all writes to the list. Event i has revision i+1.
 type history []sandbarrow.KeyItem
 
-// drawHistory draws a history without removals of what is not listed.
+// drawHistory draws a history that removes only listed upstreams.
 func drawHistory(t *rapid.T) history {
 	var h history
 	for range rapid.IntRange(1, 25).Draw(t, "events") {
@@ -26,7 +26,7 @@
 		_, listed := h.entry(key, h.head())
 		switch kind := rapid.IntRange(0, 3).Draw(t, "kind"); {
 		case kind == 0 && listed:
-			h = append(h, gone(key, next))
+			h = append(h, deleted(key, next))
 		case kind == 1:
 			h = append(h, item(key, next, "s "+key+" leaving"))
 		default:
@@ -38,7 +38,7 @@
 
 func (h history) head() sandbarrow.StoreRevision { return sandbarrow.StoreRevision(len(h)) }
 
-// entry returns the entry of a key as it stood at a revision.
+// entry returns the entry of a key at a revision.
 func (h history) entry(key string, at sandbarrow.StoreRevision) (sandbarrow.KeyItem, bool) {
 	for _, it := range slices.Backward(h[:at]) {
 		if it.Key == key {
@@ -48,9 +48,9 @@
 	return sandbarrow.KeyItem{}, false
 }
 
-// whole is the list as a whole read returns it: its pages are no snapshot, so that the
-// keys from second on are read later.
-func (h history) whole(at, later sandbarrow.StoreRevision, second string) []sandbarrow.KeyItem {
+// pagedRead returns the list as a full read returns it. Its pages are not one snapshot: keys
+// from second on are read at the revision later.
+func (h history) pagedRead(at, later sandbarrow.StoreRevision, second string) []sandbarrow.KeyItem {
 	var items []sandbarrow.KeyItem
 	for _, key := range upstreamKeys {
 		read := at
@@ -64,21 +64,21 @@
 	return items
 }
 
-// gatewayList is one gateway's directory and what the test remembers of it.
+// gatewayList is one gateway's directory with the past states that the test compares.
 type gatewayList struct {
 	*Directory
-	// marks are those that it ever had: a watch was asked at any of them.
-	marks []sandbarrow.StoreRevision
-	// newest holds the highest revision that each upstream's entry ever had.
+	// watermarks are all its watermarks so far. A watch may have started at any of them.
+	watermarks []sandbarrow.StoreRevision
+	// newest holds the highest revision so far of each upstream's entry.
 	newest map[sandbarrow.ListedID]sandbarrow.StoreRevision
 }
 
-// network is several gateways that follow a history, and all that is on its way to them.
+// network is several gateways that follow a history, and the messages in flight to them.
 type network struct {
 	history  history
 	gateways []*gatewayList
 	changes  []Change
-	lists    []news
+	lists    []listUpdate
 }
 
 func newNetwork(h history, gateways int) *network {
@@ -92,28 +92,28 @@
 	return n
 }
 
-// revision draws a revision of the history that is at least some other one.
-func (n *network) revision(t *rapid.T, least sandbarrow.StoreRevision, label string) sandbarrow.StoreRevision {
+// revision draws a revision of the history that is at least lowest.
+func (n *network) revision(t *rapid.T, lowest sandbarrow.StoreRevision, label string) sandbarrow.StoreRevision {
 	return rapid.Custom(func(t *rapid.T) sandbarrow.StoreRevision {
-		return sandbarrow.StoreRevision(rapid.IntRange(int(least), len(n.history)).Draw(t, label))
+		return sandbarrow.StoreRevision(rapid.IntRange(int(lowest), len(n.history)).Draw(t, label))
 	}).Draw(t, label)
 }
 
-// wholeRead brings a whole read that was asked at any time.
-func (n *network) wholeRead(t *rapid.T, g *gatewayList) {
+// fullRead delivers the result of a full read that started at any time.
+func (n *network) fullRead(t *rapid.T, g *gatewayList) {
 	at := n.revision(t, 1, "read at")
 	later := n.revision(t, at, "second page at")
-	g.Replace(n.history.whole(at, later, rapid.SampledFrom(upstreamKeys).Draw(t, "second page")), at)
+	g.Replace(n.history.pagedRead(at, later, rapid.SampledFrom(upstreamKeys).Draw(t, "second page")), at)
 }
 
-// watch brings the answer of a watch that was asked at any time, in any order of its items,
-// and sends what others need of it on its way.
+// watch delivers the response of a watch that started at any time, with its items in any
+// order, and adds the resulting change to the messages in flight.
 func (n *network) watch(t *rapid.T, g *gatewayList) {
-	if len(g.marks) == 0 {
-		return // a watch continues from a whole read
+	if len(g.watermarks) == 0 {
+		return // a watch continues from a full read
 	}
-	after := rapid.SampledFrom(g.marks).Draw(t, "asked after")
-	at := n.revision(t, after, "answered at")
+	after := rapid.SampledFrom(g.watermarks).Draw(t, "watch from")
+	at := n.revision(t, after, "watch until")
 	items := slices.Clone(n.history[after:at])
 	if len(items) > 0 {
 		items = rapid.Permutation(items).Draw(t, "items")
@@ -121,14 +121,14 @@
 	n.changes = append(n.changes, g.Advance(items, at))
 }
 
-// peerChange brings any change that ever was on its way.
+// peerChange delivers any change that was ever in flight. It may arrive repeatedly.
 func (n *network) peerChange(t *rapid.T, g *gatewayList) {
 	if len(n.changes) > 0 {
 		g.Learn(rapid.SampledFrom(n.changes).Draw(t, "change"))
 	}
 }
 
-// peerList brings any list that a peer ever gave.
+// peerList delivers any list that a peer ever sent.
 func (n *network) peerList(t *rapid.T, g *gatewayList) {
 	if len(n.lists) > 0 {
 		l := rapid.SampledFrom(n.lists).Draw(t, "list")
@@ -136,51 +136,51 @@
 	}
 }
 
-// giveList lets a gateway answer a peer.
-func (n *network) giveList(_ *rapid.T, g *gatewayList) {
+// sendList has a gateway send its list to a peer.
+func (n *network) sendList(_ *rapid.T, g *gatewayList) {
 	items, at := g.Items()
-	n.lists = append(n.lists, news{items: items, at: at})
+	n.lists = append(n.lists, listUpdate{items: items, at: at})
 }
 
-// check fails unless the mark and all entries are no older than before, and each upstream
-// stands as it stood at some revision from the mark on.
+// check fails if the watermark or an entry is older than before, or if an upstream's state
+// matches no revision from the watermark on.
 func (n *network) check(t *rapid.T, g *gatewayList) {
-	mark := g.Mark()
-	if len(g.marks) > 0 {
-		assert.Assert(t, mark >= g.marks[len(g.marks)-1], "the mark went back to %d", mark)
+	watermark := g.Mark()
+	if len(g.watermarks) > 0 {
+		assert.Assert(t, watermark >= g.watermarks[len(g.watermarks)-1], "the watermark went back to %d", watermark)
 	}
-	if mark > 0 {
-		g.marks = append(g.marks, mark)
+	if watermark > 0 {
+		g.watermarks = append(g.watermarks, watermark)
 	}
 	for _, key := range upstreamKeys {
 		id := sandbarrow.ListedID(key)
-		l, held := g.entries[id]
-		if held {
+		l, known := g.entries[id]
+		if known {
 			assert.Assert(t, l.item.Revision >= g.newest[id], "%s went back from %d to %d", id, g.newest[id], l.item.Revision)
 			g.newest[id] = l.item.Revision
 		}
-		assert.Assert(t, n.stoodSo(key, l, held, mark), "%s, listed %v, leaving %v, is older than the mark %d", id, held, l.instance.Draining, mark)
+		assert.Assert(t, n.matchesHistory(key, l, known, watermark), "%s, listed %v, draining %v, is older than the watermark %d", id, known, l.instance.Draining, watermark)
 	}
 }
 
-// stoodSo reports whether an upstream stood so at some revision from the mark on.
-func (n *network) stoodSo(key string, l listed, held bool, mark sandbarrow.StoreRevision) bool {
-	for at := mark; at <= n.history.head(); at++ {
+// matchesHistory reports whether an upstream had this state at some revision from the watermark on.
+func (n *network) matchesHistory(key string, l listed, known bool, watermark sandbarrow.StoreRevision) bool {
+	for at := watermark; at <= n.history.head(); at++ {
 		it, listed := n.history.entry(key, at)
-		if listed != held {
+		if listed != known {
 			continue
 		}
-		if !held || string(it.Value) == string(l.item.Value) {
+		if !known || string(it.Value) == string(l.item.Value) {
 			return true
 		}
 	}
 	return false
 }
 
-func TestNothingGoesBackInAnyOrder(t *testing.T) {
+func TestMessagesInAnyOrderNeverRevertState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(drawHistory(t), 3)
-		steps := []func(*rapid.T, *gatewayList){n.wholeRead, n.watch, n.watch, n.peerChange, n.peerChange, n.peerList, n.giveList}
+		steps := []func(*rapid.T, *gatewayList){n.fullRead, n.watch, n.watch, n.peerChange, n.peerChange, n.peerList, n.sendList}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			g := rapid.SampledFrom(n.gateways).Draw(t, "gateway")
 			rapid.SampledFrom(steps).Draw(t, "step")(t, g)
--- a/directory/change.go
+++ b/directory/change.go
@@ -2,11 +2,11 @@
 
 import "sandbarrow.example/sandbarrow"
 
-// Change is a part of the list's history, as gateways send each other.
+// Change is a section of the list's history, as gateways send it to each other.
 type Change struct {
-	// Items are the entries that changed more than their heartbeat.
+	// Items are the entries that changed in more than their heartbeat.
 	Items []sandbarrow.KeyItem `json:"items,omitempty"`
-	// Since and Mark are the revisions between which Items are complete.
+	// Since and Watermark are the revisions between which Items are complete.
 	Since sandbarrow.StoreRevision `json:"since"`
 	Mark  sandbarrow.StoreRevision `json:"mark"`
 }
@@ -16,15 +16,15 @@
 	d.Advance(items, at)
 }
 
-// Advance applies changes of the list and returns what other gateways need of them.
+// Advance applies changes of the list and returns the change to send to other gateways.
 func (d *Directory) Advance(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.advance(items, at)
 }
 
-// Learn applies a change that another gateway read. One that does not follow what
-// is known is ignored: this gateway reads the list itself then.
+// ApplyPeerChange applies a change that another gateway has read. It ignores a change that
+// leaves a gap to the known revisions: this gateway then reads the list itself.
 func (d *Directory) Learn(c Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +34,7 @@
 	d.advance(c.Items, c.Mark)
 }
 
-// Mark is the revision up to which the list is complete.
+// Watermark returns the revision up to which the list is complete.
 func (d *Directory) Mark() sandbarrow.StoreRevision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,9 +45,9 @@
 func (d *Directory) advance(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) Change {
 	change := Change{Since: d.at, Mark: at}
 	if len(items) == 0 {
-		d.confirm(at) // the most frequent news, which needs no new view
+		d.confirm(at) // the most frequent case; it needs no new view
 		return change
 	}
-	change.Items = d.merge(news{items: items, at: at})
+	change.Items = d.merge(listUpdate{items: items, at: at})
 	return change
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,10 +1,12 @@
-// Package directory holds which upstreams exist, by the platform's lagging list. It
-// owns this process's view of the list; while the list can't be read, the last view
-// stays. It relies on sandbarrow.InstanceList to read entries, and on package
-// prefixwatch or a peer to bring them; gateways use it. All methods of Directory are
-// safe for concurrent use. merge.go decides what of that news is newer than what is known;
-// lapse.go decides what it means that upstreams are missing, storereturn.go which entries apply after the
-// store was restored from an older copy.
+// Package directory tracks which upstreams exist, based on the platform's lagging list. It
+// owns this process's view of the list. While the list can't be read, the last view stays in
+// use. Entries are parsed by a sandbarrow.InstanceList and delivered by package prefixwatch
+// or by a peer. Gateways use this package. All methods of Directory are safe for concurrent
+// use.
+//
+// merge.go decides which received entries are newer than the known ones. lapse.go decides
+// whether missing upstreams have exited or only lost their leases. storerestore.go decides
+// which entries apply after the store was restored from an older copy.
 package directory
 
 import (
@@ -19,32 +21,33 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// listed is an instance with its entry in the list.
+// listed is an instance together with its entry in the list.
 type listed struct {
 	instance sandbarrow.Instance
 	item     sandbarrow.KeyItem
 }
 
-// Directory follows the list.
+// Directory is the view of the list of upstreams.
 type Directory struct {
 	list   sandbarrow.InstanceList
 	logger *slog.Logger
 	view   atomic.Pointer[View]
 
 	mu sync.Mutex
-	// at is the store's revision that the view stands for, confirmedAt when the store
-	// or a peer last confirmed it.
+	// at is the revision of the store up to which the view is complete. confirmedAt is when the
+	// store or a peer last confirmed the view.
 	at          sandbarrow.StoreRevision
 	confirmedAt time.Time
 	// recoveredAt is when the view was confirmed again after an outage.
 	recoveredAt time.Time
-	// newest is when an upstream was listed that was not known.
-	newest time.Time
-	// lapsed are upstreams that stay in use for lapseGrace though they left the list, with
-	// the revision at which they left; it tells one grace from the next.
+	// lastAdded is when an upstream was last listed that was not known before.
+	lastAdded time.Time
+	// lapsed holds the upstreams that stay in use for a grace period although they were
+	// removed from the list. The value is the revision of the removal; it distinguishes one
+	// grace period of an upstream from the next.
 	lapsed  map[sandbarrow.ListedID]sandbarrow.StoreRevision
 	entries map[sandbarrow.ListedID]listed
-	// refused counts the entries that named no upstream.
+	// refused counts the malformed entries.
 	refused uint64
 	restore restoreState
 }
@@ -60,14 +63,14 @@
 	}
 }
 
-// View returns the upstreams as they are known now.
+// View returns the currently known upstreams.
 func (d *Directory) View() *View {
 	return d.view.Load()
 }
 
-// Items returns the entries and the revision that they stand for, for a peer
-// that can't read the store. An upstream in its grace is followed by its removal, so
-// that it does not stay listed at the peer when its grace is over here.
+// Items returns the entries and the revision up to which they are complete, for a peer
+// that can't read the store. The entry of an upstream in its grace period is followed by
+// its removal. Without it, the upstream would stay listed at the peer after the grace period.
 func (d *Directory) Items() ([]sandbarrow.KeyItem, sandbarrow.StoreRevision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,41 +84,41 @@
 	return items, d.at
 }
 
-// Adopt applies a peer's entries if they stand for a newer revision, and reports
-// whether it did.
+// ApplyPeerList applies a peer's entries if they are complete up to a newer revision, and
+// reports whether it did.
 func (d *Directory) Adopt(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at <= d.at || len(items) == 0 {
 		return false
 	}
-	d.merge(news{items: items, at: at, whole: true})
+	d.merge(listUpdate{items: items, at: at, complete: true})
 	return true
 }
 
-// Age is how long ago the view was confirmed, by the store or a peer.
+// Age returns how long ago the store or a peer last confirmed the view.
 func (d *Directory) Age() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return boottime.Since(d.confirmedAt)
 }
 
-// LastNew is when an upstream was listed last that was not known before.
+// LastAdded returns when an upstream was last listed that was not known before.
 func (d *Directory) LastNew() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.newest
+	return d.lastAdded
 }
 
-// Replace applies the whole list as it stood at a revision.
+// Replace applies the complete list as of a revision.
 func (d *Directory) Replace(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.merge(news{items: items, at: at, whole: true})
+	d.merge(listUpdate{items: items, at: at, complete: true})
 }
 
-// confirm keeps that the view stands for a revision now. What stands for an older one
-// came late and says nothing of now. The caller holds mu.
+// confirm records that the view is complete up to a revision now. A message for an older
+// revision is late and confirms nothing. The caller holds mu.
 func (d *Directory) confirm(at sandbarrow.StoreRevision) {
 	if at < d.at {
 		return
@@ -127,39 +130,39 @@
 	d.at, d.confirmedAt = at, now
 }
 
-// apply keeps the entry of an instance that is newer than what is known, and reports whether
-// it differs by more than a heartbeat. The caller holds mu.
+// apply stores an entry that is newer than the known one. It reports whether the two differ
+// in more than the heartbeat. The caller holds mu.
 func (d *Directory) apply(id sandbarrow.ListedID, it sandbarrow.KeyItem, instance sandbarrow.Instance) bool {
 	old, known := d.entries[id]
-	known = known && old.instance.ID.Is(instance.ID) // one that has started again is a new one
+	known = known && old.instance.ID.Is(instance.ID) // after a restart it is a new instance
 	if !known {
-		d.newest = boottime.Now()
+		d.lastAdded = boottime.Now()
 	}
 	if !known || old.instance.Draining != instance.Draining {
 		d.logger.Info("upstream listed", "upstream", string(instance.ID), "address", instance.Address,
 			"service", string(instance.Service), "leaving", instance.Draining, "revision", it.Revision)
 	}
-	_, returned := d.lapsed[id]
+	_, relisted := d.lapsed[id]
 	delete(d.lapsed, id)
 	d.entries[id] = listed{instance: instance, item: it}
-	return !known || returned || !sameButHeld(&old.instance, &instance)
+	return !known || relisted || !sameExceptAdapters(&old.instance, &instance)
 }
 
-// Refused is how many entries named no upstream, as they were malformed.
+// RefusedEntries returns how many entries were malformed.
 func (d *Directory) Refused() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused
 }
 
-// sameButHeld reports whether two entries are the same but for the adapters held.
-func sameButHeld(a, b *sandbarrow.Instance) bool {
+// sameExceptAdapters reports whether two entries are equal except for the loaded adapters.
+func sameExceptAdapters(a, b *sandbarrow.Instance) bool {
 	return a.ID == b.ID && a.Address == b.Address && a.FailureDomain == b.FailureDomain && a.Draining == b.Draining &&
 		a.Service == b.Service && a.Slots == b.Slots
 }
 
-// publish makes a new view. Of several instances at one address the one whose
-// entry was written last is the one that runs.
+// publish builds a new view. If several instances are listed at one address, only the one
+// whose entry was written last is running.
 func (d *Directory) publish() {
 	newest := map[string]listed{}
 	for _, l := range d.entries {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -14,15 +14,15 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// list reads values such as "service address" or "service address leaving", each followed
-// by @ and a time of start where the upstream names one.
+// list parses values such as "service address" or "service address leaving". A value may end
+// in @ and the start time of the upstream.
 type list struct{}
 
 func (list) Prefix() string                          { return "" }
 func (list) ListedID(key string) sandbarrow.ListedID { return sandbarrow.ListedID(key) }
 func (list) Instance(it sandbarrow.KeyItem) (sandbarrow.Instance, error) {
-	value, born, _ := strings.Cut(string(it.Value), "@")
-	started, _ := strconv.ParseInt(born, 10, 64)
+	value, startText, _ := strings.Cut(string(it.Value), "@")
+	started, _ := strconv.ParseInt(startText, 10, 64)
 	parts := strings.Fields(value)
 	if len(parts) < 2 {
 		return sandbarrow.Instance{}, errors.NotValidf("entry")
@@ -36,7 +36,7 @@
 	return sandbarrow.KeyItem{Key: key, Revision: revision, Value: []byte(value)}
 }
 
-func gone(key string, revision sandbarrow.StoreRevision) sandbarrow.KeyItem {
+func deleted(key string, revision sandbarrow.StoreRevision) sandbarrow.KeyItem {
 	return sandbarrow.KeyItem{Key: key, Gone: true, Revision: revision}
 }
 
@@ -60,23 +60,23 @@
 	return strings.Join(out, " ")
 }
 
-func TestChanges(t *testing.T) {
+func TestUpdateAppliesEntries(t *testing.T) {
 	for name, tc := range map[string]struct {
 		update []sandbarrow.KeyItem
 		want   string
 	}{
-		"added":              {[]sandbarrow.KeyItem{item("f", 6, "s 6")}, "a b c d f"},
-		"leaving":            {[]sandbarrow.KeyItem{item("b", 6, "s 2 leaving")}, "a b! c d"},
-		"gone alone":         {[]sandbarrow.KeyItem{gone("b", 6)}, "a c d"},
-		"gone and back":      {[]sandbarrow.KeyItem{gone("b", 6), item("b", 7, "s 2")}, "a b c d"},
-		"malformed":          {[]sandbarrow.KeyItem{item("b", 6, "rubbish")}, "a c d"},
-		"malformed and good": {[]sandbarrow.KeyItem{item("b", 6, "rubbish"), item("b", 7, "s 2")}, "a b c d"},
-		"malformed is old":   {[]sandbarrow.KeyItem{item("b", 7, "s 2"), item("b", 6, "rubbish")}, "a b c d"},
-		"never good":         {[]sandbarrow.KeyItem{item("z", 6, "rubbish")}, "a b c d"},
-		"restarted":          {[]sandbarrow.KeyItem{item("x", 6, "s 2")}, "a x c d"},
-		"late word of old":   {[]sandbarrow.KeyItem{item("x", 9, "s 2"), item("b", 6, "s 2")}, "a x c d"},
-		"another's address":  {[]sandbarrow.KeyItem{item("x", 6, "t 2")}, "a c d"},
-		"many gone at once":  {[]sandbarrow.KeyItem{gone("a", 6), gone("b", 7), gone("c", 8)}, "d"},
+		"added":                {[]sandbarrow.KeyItem{item("f", 6, "s 6")}, "a b c d f"},
+		"draining":             {[]sandbarrow.KeyItem{item("b", 6, "s 2 leaving")}, "a b! c d"},
+		"removed":              {[]sandbarrow.KeyItem{deleted("b", 6)}, "a c d"},
+		"removed and relisted": {[]sandbarrow.KeyItem{deleted("b", 6), item("b", 7, "s 2")}, "a b c d"},
+		"malformed":            {[]sandbarrow.KeyItem{item("b", 6, "rubbish")}, "a c d"},
+		"malformed and good":   {[]sandbarrow.KeyItem{item("b", 6, "rubbish"), item("b", 7, "s 2")}, "a b c d"},
+		"malformed is older":   {[]sandbarrow.KeyItem{item("b", 7, "s 2"), item("b", 6, "rubbish")}, "a b c d"},
+		"only malformed":       {[]sandbarrow.KeyItem{item("z", 6, "rubbish")}, "a b c d"},
+		"restarted":            {[]sandbarrow.KeyItem{item("x", 6, "s 2")}, "a x c d"},
+		"late heartbeat of the replaced instance": {[]sandbarrow.KeyItem{item("x", 9, "s 2"), item("b", 6, "s 2")}, "a x c d"},
+		"address taken over by another service":   {[]sandbarrow.KeyItem{item("x", 6, "t 2")}, "a c d"},
+		"many removed at once":                    {[]sandbarrow.KeyItem{deleted("a", 6), deleted("b", 7), deleted("c", 8)}, "d"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDirectory()
@@ -86,10 +86,10 @@
 	}
 }
 
-func TestMassGoneAfterOutage(t *testing.T) {
+func TestMassRemovalAfterOutageIsDelayed(t *testing.T) {
 	d := newDirectory()
 	d.confirmedAt = boottime.Now().Add(-2 * outageAfter)
-	d.Update([]sandbarrow.KeyItem{gone("a", 6), gone("b", 7), gone("c", 8)}, 8)
+	d.Update([]sandbarrow.KeyItem{deleted("a", 6), deleted("b", 7), deleted("c", 8)}, 8)
 	assert.Equal(t, ids(d, "s"), "a b c d")
 	d.Update([]sandbarrow.KeyItem{item("b", 9, "s 2")}, 9)
 	deadline := time.Now().Add(3 * lapseGrace)
@@ -99,12 +99,12 @@
 	assert.Equal(t, ids(d, "s"), "b d")
 }
 
-func TestUpstreamThatLeftAcceptsNothing(t *testing.T) {
+func TestDrainingOrRemovedUpstreamIsUnavailable(t *testing.T) {
 	d := newDirectory()
 	chosen := d.View().Service("s")
-	d.Update([]sandbarrow.KeyItem{item("a", 6, "s 1 leaving"), gone("b", 7)}, 7)
+	d.Update([]sandbarrow.KeyItem{item("a", 6, "s 1 leaving"), deleted("b", 7)}, 7)
 	for i, want := range []bool{false, false, true, true} {
-		assert.Equal(t, accepts(d, chosen[i]), want, "%s", chosen[i].ID)
+		assert.Equal(t, isAvailable(d, chosen[i]), want, "%s", chosen[i].ID)
 	}
 }
 
@@ -115,22 +115,22 @@
 	assert.Equal(t, len(d.View().All()), 0)
 }
 
-func TestStartUnderTheSameIDIsANewInstance(t *testing.T) {
+func TestRestartUnderTheSameIDIsANewInstance(t *testing.T) {
 	d := newDirectory()
 	d.Update([]sandbarrow.KeyItem{item("b", 6, "s 2 @100")}, 6)
 	chosen := d.View().Service("s")[1]
 	assert.Equal(t, chosen.ID, sandbarrow.InstanceID("b@100"))
-	d.newest = time.Time{}
+	d.lastAdded = time.Time{}
 	change := d.Advance([]sandbarrow.KeyItem{item("b", 7, "s 2 @200")}, 7)
-	assert.Assert(t, !accepts(d, chosen))
+	assert.Assert(t, !isAvailable(d, chosen))
 	assert.Equal(t, d.View().Service("s")[1].ID, sandbarrow.InstanceID("b@200"))
 	assert.Assert(t, !d.LastNew().IsZero())
-	assert.Equal(t, len(change.Items), 1, "other gateways need it")
-	d.Update([]sandbarrow.KeyItem{item("b", 6, "s 2 @100")}, 8) // a late word of the last start
+	assert.Equal(t, len(change.Items), 1, "the change is sent to other gateways")
+	d.Update([]sandbarrow.KeyItem{item("b", 6, "s 2 @100")}, 8) // a late heartbeat of the previous start
 	assert.Equal(t, d.View().Service("s")[1].ID, sandbarrow.InstanceID("b@200"))
 }
 
-// A malformed entry is counted once for each revision, and other gateways learn of it.
+// A malformed entry is counted once for each revision and is sent to other gateways.
 func TestMalformedEntriesAreCounted(t *testing.T) {
 	d := newDirectory()
 	before := d.Refused()
@@ -140,8 +140,8 @@
 	assert.Equal(t, d.Refused()-before, uint64(1))
 }
 
-// accepts reports whether an upstream is still listed and does not drain.
-func accepts(d *Directory, in *sandbarrow.Instance) bool {
+// isAvailable reports whether an upstream is still listed and not draining.
+func isAvailable(d *Directory, in *sandbarrow.Instance) bool {
 	listed := d.View().Find(in)
 	return listed != nil && !listed.Draining
 }
--- a/directory/merge.go
+++ b/directory/merge.go
@@ -9,123 +9,126 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// news is what one answer or message says of the list.
-type news struct {
+// listUpdate is the content of one store response or peer message about the list.
+type listUpdate struct {
 	items []sandbarrow.KeyItem
 	// at is the revision up to which the items are complete.
 	at sandbarrow.StoreRevision
-	// whole says that the items are the list as it stood at that revision, not changes.
-	whole bool
+	// complete says that the items are the complete list at that revision, not changes.
+	complete bool
 }
 
-// merge applies news and returns what other gateways need of it, if it is changes. All
-// that is read passes here: the own watch, whole reads and what peers tell. Each may have
-// been asked for long ago, so an item counts only where it is newer than what is known of
-// its upstream. The caller holds mu.
-func (d *Directory) merge(n news) []sandbarrow.KeyItem {
+// merge applies an update and returns the items that other gateways need, if it consists of
+// changes. All updates are applied here: those of the own watch, of full reads and of peers.
+// Each may have been requested long ago. An item is therefore applied only if it is newer
+// than the known state of its upstream. The caller holds mu.
+func (d *Directory) merge(n listUpdate) []sandbarrow.KeyItem {
 	m := merging{
 		Directory: d,
 		before:    d.at,
-		left:      map[sandbarrow.ListedID]sandbarrow.StoreRevision{},
-		told:      map[sandbarrow.ListedID]sandbarrow.KeyItem{},
+		removed:   map[sandbarrow.ListedID]sandbarrow.StoreRevision{},
+		forPeers:  map[sandbarrow.ListedID]sandbarrow.KeyItem{},
 	}
 	d.observeEra(n.at)
 	d.confirm(n.at)
 	for _, it := range slices.SortedFunc(slices.Values(n.items), byRevision) {
-		if m.mergeItem(it, n.whole) {
-			m.told[d.list.ListedID(it.Key)] = it
+		if m.mergeItem(it, n.complete) {
+			m.forPeers[d.list.ListedID(it.Key)] = it
 		}
 	}
-	if n.whole {
-		m.leaveAbsent(n)
+	if n.complete {
+		m.removeAbsent(n)
 	}
-	d.remove(m.left)
+	d.remove(m.removed)
 	d.publish()
-	return slices.SortedFunc(maps.Values(m.told), byRevision)
+	return slices.SortedFunc(maps.Values(m.forPeers), byRevision)
 }
 
 func byRevision(a, b sandbarrow.KeyItem) int { return cmp.Compare(a.Revision, b.Revision) }
 
-// merging is one merge under way.
+// merging is the state of one merge.
 type merging struct {
 	*Directory
 	// before is the revision up to which the list was complete before the merge.
 	before sandbarrow.StoreRevision
-	// left holds the upstreams that leave with this merge, and since which revision; they
-	// are taken out together at its end, so that a lapse can be told from ends.
-	left map[sandbarrow.ListedID]sandbarrow.StoreRevision
-	// told is what other gateways need that are complete up to before.
-	told map[sandbarrow.ListedID]sandbarrow.KeyItem
+	// removed holds the upstreams that this merge removes, with the revision of the removal.
+	// They are dropped together at its end. Their number decides whether the removals are due
+	// to lapsed leases or to exits.
+	removed map[sandbarrow.ListedID]sandbarrow.StoreRevision
+	// forPeers holds the items that other gateways need if they are complete up to before.
+	forPeers map[sandbarrow.ListedID]sandbarrow.KeyItem
 }
 
-// known returns the revision from which an upstream is known: of its entry or, where it is
-// not listed, the one up to which the list is complete. So removals need not be kept: an
-// entry that is not held, and is not newer than the complete list, has been removed.
+// known returns the revision of the known state of an upstream. It is the revision of its
+// entry or, if it is not listed, the revision up to which the list is complete. This makes
+// records of past removals unnecessary: an entry that is missing here and is not newer than
+// the complete list has been removed.
 func (m *merging) known(id sandbarrow.ListedID) sandbarrow.StoreRevision {
-	if at, left := m.left[id]; left {
+	if at, removed := m.removed[id]; removed {
 		return at
 	}
-	l, held := m.entries[id]
-	if _, lapsed := m.lapsed[id]; held && !lapsed {
+	l, exists := m.entries[id]
+	if _, lapsed := m.lapsed[id]; exists && !lapsed {
 		return l.item.Revision
 	}
 	return m.before
 }
 
 // mergeItem applies one item and reports whether other gateways need it.
-func (m *merging) mergeItem(it sandbarrow.KeyItem, whole bool) bool {
+func (m *merging) mergeItem(it sandbarrow.KeyItem, complete bool) bool {
 	id := m.list.ListedID(it.Key)
-	lacked := it.Revision > m.before // by others that are complete as far as this one was
+	neededByPeers := it.Revision > m.before // by peers whose list is complete up to before
 	if it.Revision <= m.known(id) {
-		return lacked // pages of a whole read may have brought it ahead of its turn
+		return neededByPeers // a late page of an earlier full read may already have delivered it
 	}
 	if it.Gone {
-		if !lacked {
-			return false // it has returned since, or it would not be held
+		if !neededByPeers {
+			return false // it is still listed, which means that it was listed again later
 		}
 		delete(m.restore.pending, id)
-		m.leave(id, it.Revision, whole)
-		return lacked
+		m.removeListed(id, it.Revision, complete)
+		return neededByPeers
 	}
 	instance, err := m.list.Instance(it)
 	if err != nil {
 		m.refuse(id, it, err)
-		return lacked
+		return neededByPeers
 	}
-	if whole && m.inRestoreGrace() && m.isOutdated(id, it, &instance) {
+	if complete && m.inRestoreGrace() && m.isOutdated(id, it, &instance) {
 		m.restore.pending[id] = it
 		return false
 	}
-	_, returned := m.left[id]
-	delete(m.left, id)
+	_, relisted := m.removed[id]
+	delete(m.removed, id)
 	delete(m.restore.pending, id)
 	differs := m.apply(id, it, instance)
-	return lacked && (differs || returned)
+	return neededByPeers && (differs || relisted)
 }
 
-// refuse takes an upstream out of use whose newest entry names none, as it is malformed or
-// was written by something else: it gets nothing new until a good entry follows.
-func (m *merging) refuse(id sandbarrow.ListedID, it sandbarrow.KeyItem, why error) {
+// refuse removes an upstream whose newest entry is malformed or was written by another
+// program. The upstream gets no new requests until a valid entry follows.
+func (m *merging) refuse(id sandbarrow.ListedID, it sandbarrow.KeyItem, cause error) {
 	m.refused++
-	m.logger.Warn("upstream entry refused", "key", it.Key, "revision", it.Revision, "error", why.Error())
-	m.left[id] = it.Revision
+	m.logger.Warn("upstream entry refused", "key", it.Key, "revision", it.Revision, "error", cause.Error())
+	m.removed[id] = it.Revision
 }
 
-// leave notes that an upstream left the list. A peer's whole list says so only of an
-// upstream whose grace runs at the peer, so that it has a grace here too.
-func (m *merging) leave(id sandbarrow.ListedID, at sandbarrow.StoreRevision, whole bool) {
-	_, held := m.entries[id]
+// removeListed records that an upstream was removed from the list. A peer's complete list has
+// such an item only for an upstream in its grace period at the peer. It then gets a grace
+// period here too.
+func (m *merging) removeListed(id sandbarrow.ListedID, at sandbarrow.StoreRevision, complete bool) {
+	_, exists := m.entries[id]
 	_, lapsed := m.lapsed[id]
-	if whole && held && !lapsed {
+	if complete && exists && !lapsed {
 		m.beginGrace(id, at, lapseGrace)
 		return
 	}
-	m.left[id] = at
+	m.removed[id] = at
 }
 
-// leaveAbsent notes which upstreams a whole list lacks, but for those that are known
-// from a newer revision. Those that a restored list lacks get a grace.
-func (m *merging) leaveAbsent(n news) {
+// removeAbsent records the upstreams that are missing from a complete list, except those
+// known from a newer revision. Upstreams missing from a restored list get a grace period.
+func (m *merging) removeAbsent(n listUpdate) {
 	present := map[sandbarrow.ListedID]bool{}
 	for _, it := range n.items {
 		present[m.list.ListedID(it.Key)] = true
@@ -138,6 +141,6 @@
 			m.beginGrace(id, n.at, boottime.Until(m.restore.graceUntil))
 			continue
 		}
-		m.left[id] = n.at
+		m.removed[id] = n.at
 	}
 }
--- a/directory/learn_test.go
+++ b/directory/peerchange_test.go
@@ -8,34 +8,34 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-func TestLearn(t *testing.T) {
+func TestApplyPeerChange(t *testing.T) {
 	for name, tc := range map[string]struct {
-		change Change
-		want   string
-		mark   sandbarrow.StoreRevision
+		change    Change
+		want      string
+		watermark sandbarrow.StoreRevision
 	}{
-		"what follows": {
-			Change{Items: []sandbarrow.KeyItem{item("a", 6, "s 1 leaving"), gone("b", 7)}, Since: 5, Mark: 8}, "a! c d", 8,
+		"the next change": {
+			Change{Items: []sandbarrow.KeyItem{item("a", 6, "s 1 leaving"), deleted("b", 7)}, Since: 5, Mark: 8}, "a! c d", 8,
 		},
-		"nothing but that it is complete": {Change{Since: 4, Mark: 9}, "a b c d", 9},
-		"a gap in between":                {Change{Items: []sandbarrow.KeyItem{gone("a", 7)}, Since: 6, Mark: 8}, "a b c d", 5},
-		"older than what is known":        {Change{Items: []sandbarrow.KeyItem{gone("a", 3)}, Since: 2, Mark: 4}, "a b c d", 5},
-		"older in part": {
-			Change{Items: []sandbarrow.KeyItem{gone("a", 3), gone("b", 6)}, Since: 2, Mark: 6}, "a c d", 6,
+		"no entries":                {Change{Since: 4, Mark: 9}, "a b c d", 9},
+		"a gap":                     {Change{Items: []sandbarrow.KeyItem{deleted("a", 7)}, Since: 6, Mark: 8}, "a b c d", 5},
+		"older than the known list": {Change{Items: []sandbarrow.KeyItem{deleted("a", 3)}, Since: 2, Mark: 4}, "a b c d", 5},
+		"partly older": {
+			Change{Items: []sandbarrow.KeyItem{deleted("a", 3), deleted("b", 6)}, Since: 2, Mark: 6}, "a c d", 6,
 		},
 	} {
 		d := newDirectory()
 		d.Learn(tc.change)
 		assert.Equal(t, ids(d, "s"), tc.want, name)
-		assert.Equal(t, d.Mark(), tc.mark, name)
+		assert.Equal(t, d.Mark(), tc.watermark, name)
 	}
 }
 
-// What is told to others leaves heartbeats out.
-func TestAdvanceTellsWhatChanged(t *testing.T) {
+// Changes for other gateways must not include heartbeats.
+func TestAdvanceReturnsOnlyRealChanges(t *testing.T) {
 	d := newDirectory()
 	change := d.Advance([]sandbarrow.KeyItem{
-		item("a", 6, "s 1"), item("b", 7, "s 2 leaving"), item("f", 8, "s 6"), gone("c", 9),
+		item("a", 6, "s 1"), item("b", 7, "s 2 leaving"), item("f", 8, "s 6"), deleted("c", 9),
 	}, 10)
 	assert.Equal(t, change.Since, sandbarrow.StoreRevision(5))
 	assert.Equal(t, change.Mark, sandbarrow.StoreRevision(10))
@@ -49,22 +49,22 @@
 	assert.Equal(t, ids(other, "s"), ids(d, "s"))
 }
 
-func TestAdvanceTellsWhatReturned(t *testing.T) {
+func TestAdvanceReturnsRelistedUpstream(t *testing.T) {
 	d, other := newDirectory(), newDirectory()
-	other.Learn(d.Advance([]sandbarrow.KeyItem{gone("a", 6), gone("b", 7), item("b", 8, "s 2"), item("b", 9, "s 2")}, 9))
+	other.Learn(d.Advance([]sandbarrow.KeyItem{deleted("a", 6), deleted("b", 7), item("b", 8, "s 2"), item("b", 9, "s 2")}, 9))
 	assert.Equal(t, ids(d, "s"), "b c d")
 	assert.Equal(t, ids(other, "s"), "b c d")
 }
 
-// A directory that knows nothing yet can't follow a change.
-func TestLearnNeedsAStart(t *testing.T) {
+// An empty directory has no base to which a change could be applied.
+func TestPeerChangeIsIgnoredBeforeFirstRead(t *testing.T) {
 	d := New(list{}, nil)
 	d.Learn(Change{Since: 0, Mark: 3})
 	assert.Equal(t, d.Mark(), sandbarrow.StoreRevision(0))
 	assert.Assert(t, d.View() == nil)
 }
 
-func TestChangeAheadOfItsTurnIsTold(t *testing.T) {
+func TestAdvanceReturnsChangeThatAFullReadAlreadyHad(t *testing.T) {
 	d, other := newDirectory(), newDirectory()
 	d.Replace([]sandbarrow.KeyItem{
 		item("a", 1, "s 1"), item("b", 2, "s 2"), item("c", 3, "s 3"), item("d", 7, "s 4 leaving"), item("e", 5, "t 5"),
--- a/directory/storereturn_test.go
+++ b/directory/storerestore_test.go
@@ -13,14 +13,14 @@
 	return sandbarrow.NewStoreRevision(era, number)
 }
 
-// changedDirectory returns a directory that has seen a drain, an end, a restart and a new upstream.
+// changedDirectory returns a directory to which a drain, an exit, a restart and a new upstream were applied.
 func changedDirectory() *Directory {
 	d := newDirectory()
 	d.Replace([]sandbarrow.KeyItem{
 		item("a", rev(1, 1), "s 1"), item("b", rev(1, 2), "s 2"), item("c", rev(1, 3), "s 3@100"), item("d", rev(1, 4), "s 4"),
 	}, rev(1, 100))
 	d.Update([]sandbarrow.KeyItem{
-		item("a", rev(1, 101), "s 1 leaving"), gone("b", rev(1, 102)), item("c", rev(1, 103), "s 3@200"), item("f", rev(1, 104), "s 6"),
+		item("a", rev(1, 101), "s 1 leaving"), deleted("b", rev(1, 102)), item("c", rev(1, 103), "s 3@200"), item("f", rev(1, 104), "s 6"),
 	}, rev(1, 104))
 	return d
 }
@@ -55,7 +55,7 @@
 	assert.Equal(t, ids(d, "s"), "a! c@200 d f g")
 	d.Update([]sandbarrow.KeyItem{item("h", rev(2, 101), "s 8"), item("c", rev(2, 102), "s 3@300"), item("b", rev(2, 103), "s 2")}, rev(2, 103))
 	assert.Equal(t, ids(d, "s"), "a! b c@300 d f g h")
-	d.Update([]sandbarrow.KeyItem{gone("h", rev(2, 104)), gone("d", rev(2, 105))}, rev(2, 105))
+	d.Update([]sandbarrow.KeyItem{deleted("h", rev(2, 104)), deleted("d", rev(2, 105))}, rev(2, 105))
 	assert.Equal(t, ids(d, "s"), "a! b c@300 f g")
 }
 
--- a/directory/suspension_test.go
+++ b/directory/suspension_test.go
@@ -12,7 +12,7 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-func TestListAgesAcrossASuspension(t *testing.T) {
+func TestSuspensionCountsAsOutage(t *testing.T) {
 	d := New(list{}, slog.New(slog.DiscardHandler))
 	var items []sandbarrow.KeyItem
 	for i := range 6 {
--- a/directory/view.go
+++ b/directory/view.go
@@ -7,7 +7,7 @@
 	byService map[sandbarrow.ServiceID][]*sandbarrow.Instance
 }
 
-// Find returns an upstream's entry as it is now, or nil where it has left the list.
+// Find returns an upstream's current entry, or nil if it is no longer listed.
 func (v *View) Find(in *sandbarrow.Instance) *sandbarrow.Instance {
 	for _, other := range v.Service(in.Service) {
 		if other.ID == in.ID {
@@ -17,7 +17,7 @@
 	return nil
 }
 
-// At returns the upstream that is listed at an address, or nil.
+// At returns the upstream listed at an address, or nil.
 func (v *View) At(address string) *sandbarrow.Instance {
 	if v == nil {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// All returns all upstreams, in no order.
+// All returns all upstreams in no particular order.
 func (v *View) All() []*sandbarrow.Instance {
 	var all []*sandbarrow.Instance
 	if v == nil {
@@ -44,8 +44,8 @@
 	return all
 }
 
-// Service returns the upstreams of a service, ordered by address. A nil view has
-// none.
+// Service returns the upstreams of a service, ordered by address. It returns none for a
+// nil view.
 func (v *View) Service(id sandbarrow.ServiceID) []*sandbarrow.Instance {
 	if v == nil {
 		return nil
--- a/enginelink/accept.go
+++ b/enginelink/accept.go
@@ -9,11 +9,11 @@
 	"sandbarrow.example/sandbarrow/internal/pause"
 )
 
-// acceptPause follows a connection that could not be taken.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// Accept gives each connection of a listener to serve, in a goroutine of its
-// own, until ctx ends; then it closes the listener.
+// Accept runs serve for each connection of a listener, in its own goroutine, until
+// ctx ends. Then it closes the listener.
 func Accept(ctx context.Context, listener net.Listener, logger *slog.Logger, serve func(context.Context, net.Conn)) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
@@ -23,8 +23,8 @@
 			return nil
 		}
 		if err != nil {
-			logger.Warn("connection not taken", "listener", listener.Addr().String(), "error", err.Error())
-			pause.For(ctx, acceptPause)
+			logger.Warn("could not accept connection", "listener", listener.Addr().String(), "error", err.Error())
+			pause.For(ctx, acceptRetryDelay)
 			continue
 		}
 		go serve(ctx, conn)
--- a/enginelink/dial.go
+++ b/enginelink/dial.go
@@ -11,7 +11,8 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// DialPeer opens a connection to a peer, for questions alone. Dialling takes timeout at most.
+// DialPeer opens a connection to a peer, only for outgoing calls: incoming requests are rejected.
+// Dialling takes at most timeout.
 func DialPeer(ctx context.Context, address string, timeout time.Duration) (*jsonrpc2.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
--- a/enginelink/estatesync.go
+++ b/enginelink/estatesync.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// WatchLead is how long the store's own watch may take to bring what a peer has announced, so
-	// that it is not fetched twice.
+	// StoreWatchGrace is how long this process waits for its own store watch to deliver what a
+	// peer has published. Without it the same change would be fetched twice.
 	WatchLead = 300 * time.Millisecond
 	// fetchTimeout bounds one fetch from a peer.
 	fetchTimeout = 2 * time.Second
 )
 
-// AnnounceMarks sends a peer each new mark of the operators' state until ctx ends.
+// PublishWatermarks sends a peer each new watermark of the operators' state until ctx ends.
 func AnnounceMarks(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) {
 	for ctx.Err() == nil {
-		mark, changed := e.Mark()
-		if mark.Revision > 0 {
-			if err := rpc.Notify(ctx, MethodMark, mark); err != nil {
+		watermark, changed := e.Mark()
+		if watermark.Revision > 0 {
+			if err := rpc.Notify(ctx, MethodMark, watermark); err != nil {
 				return
 			}
 		}
@@ -35,60 +35,60 @@
 	}
 }
 
-// FollowMark fetches what a peer has announced and this side lacks, unless the
-// store brings it within lead.
-func FollowMark(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate, m Mark, lead time.Duration) {
-	mine, _ := e.Mark()
-	if !mine.MayLack(m) {
+// FollowWatermark fetches the state that a peer has published and this side lacks, unless
+// the store delivers it within grace.
+func FollowMark(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate, published Mark, grace time.Duration) {
+	local, _ := e.Mark()
+	if !local.MayLack(published) {
 		return
 	}
-	if mine.Revision > 0 && lead > 0 {
+	if local.Revision > 0 && grace > 0 {
 		select {
-		case <-time.After(lead):
+		case <-time.After(grace):
 		case <-ctx.Done():
 			return
 		}
 	}
 	e.Fetching.Lock()
 	defer e.Fetching.Unlock()
-	if mine, _ = e.Mark(); !mine.MayLack(m) {
+	if local, _ = e.Mark(); !local.MayLack(published) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	_ = Fetch(ctx, rpc, e) // a peer whose link broke: another one, or its next mark, brings it
+	_ = Fetch(ctx, rpc, e) // after a failed fetch another peer, or this peer's next watermark, triggers a new one
 }
 
-// Fetch asks a peer for what this side lacks of the operators' state, and for how long ago
-// the peer's state was the newest.
+// Fetch requests from a peer the part of the operators' state that this side lacks. The
+// reply also says how long ago the peer's state was confirmed as the newest.
 func Fetch(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) error {
-	mine, _ := e.Mark()
-	asked := boottime.Now()
-	var got Estate
-	if err := rpc.Call(ctx, MethodFetch, mine, &got); err != nil {
+	local, _ := e.Mark()
+	requestedAt := boottime.Now()
+	var reply Estate
+	if err := rpc.Call(ctx, MethodFetch, local, &reply); err != nil {
 		return err
 	}
-	e.Learn(got.Items, Mark{Earlier: got.Earlier, Revision: got.Mark})
-	if got.AgeMS != nil {
-		e.Confirm(asked.Add(-time.Duration(*got.AgeMS)*time.Millisecond), got.Table)
+	e.Learn(reply.Items, Mark{Earlier: reply.Earlier, Revision: reply.Mark})
+	if reply.AgeMS != nil {
+		e.Confirm(requestedAt.Add(-time.Duration(*reply.AgeMS)*time.Millisecond), reply.Table)
 	}
 	return nil
 }
 
-// ServeFetch answers a fetch.
+// ServeFetch replies to a fetch.
 func ServeFetch(rpc *jsonrpc2.Conn, r *jsonrpc2.Request, e *estate.Estate) (any, error) {
-	return wire.Later(rpc, r, func(m Mark) any {
-		confirmed, table := e.Confirmed() // before the items, which may be newer
-		items, mark := e.Since(m)
-		return Estate{AgeMS: ageMS(confirmed), Earlier: mark.Earlier, Items: items, Mark: mark.Revision, Table: table}
+	return wire.Later(rpc, r, func(known Mark) any {
+		confirmed, table := e.Confirmed() // read before the items, which may then be newer but not older
+		items, watermark := e.Since(known)
+		return Estate{AgeMS: ageMS(confirmed), Earlier: watermark.Earlier, Items: items, Mark: watermark.Revision, Table: table}
 	})
 }
 
-// ageMS is how long ago a time was, rounded up; nil for the zero time.
-func ageMS(at time.Time) *int64 {
-	if at.IsZero() {
+// ageMS returns how many milliseconds ago a time was, rounded up. It is nil for the zero time.
+func ageMS(t time.Time) *int64 {
+	if t.IsZero() {
 		return nil
 	}
-	ms := boottime.Since(at).Milliseconds() + 1
+	ms := boottime.Since(t).Milliseconds() + 1
 	return &ms
 }
--- a/enginelink/messages.go
+++ b/enginelink/messages.go
@@ -1,9 +1,8 @@
-// Package enginelink holds the messages between gateways and the controllers
-// beside engines, JSON-RPC over one kept connection per pair (framed by package
-// wire), and what both sides do alike: accepting links, and keeping the operators'
-// state of both sides equal. It owns the format on the wire and no state. Gateways
-// and controllers use it; names on the wire stay as they are, also where the names
-// here have changed.
+// Package enginelink defines the messages between gateways and the controllers that run
+// beside engines. They are JSON-RPC over one persistent connection per pair, framed by
+// package wire. The package also has the code that both sides share: accepting links and
+// synchronizing the operators' state. It owns the wire format and no state. Gateways and
+// controllers use it. Names on the wire never change, so some differ from the Go names.
 package enginelink
 
 import (
@@ -20,251 +19,255 @@
 
 // The methods of a link.
 const (
-	// MethodAcquire asks a controller to pin an adapter; a call.
+	// MethodAcquire requests that a controller pins an adapter; a call.
 	MethodAcquire = "engine.acquire"
-	// MethodBegun reports that a request's answer has begun, so that its prompt no
-	// longer waits.
+	// MethodResponseStarted reports that the response to a request has started, which means
+	// that its prompt no longer waits.
 	MethodBegun = "engine.begun"
-	// MethodCrashes tells under which requests upstreams have ended; a call between gateways,
-	// whose result is what the other side knows.
+	// MethodCrashes sends the requests under which upstreams have exited. It is a call between
+	// gateways; its result holds the records of the other side.
 	MethodCrashes = "crash.records"
-	// MethodDone ends a pin.
+	// MethodUnpin ends a pin.
 	MethodDone = "engine.done"
-	// MethodFetch reads what changed of the operators' state; a call.
+	// MethodFetch fetches changes of the operators' state; a call.
 	MethodFetch = "estate.fetch"
 	// MethodHello opens a link.
 	MethodHello = "link.hello"
-	// MethodKept reports which prompt parts an engine keeps.
+	// MethodCachedPrompts reports which prompt prefixes an engine has cached.
 	MethodKept = "engine.kept"
-	// MethodLead asks a controller to lead a quota shard.
+	// MethodLead requests that a controller leads a quota shard.
 	MethodLead = "quota.lead"
-	// MethodLeads announces the quota shards that a controller leads now.
+	// MethodLedShards publishes the quota shards that a controller leads.
 	MethodLeads = "quota.leads"
-	// MethodLimit announces what an upstream says of its limit: controllers tell gateways.
+	// MethodLimit publishes the limits that upstreams have named, from controllers to gateways.
 	MethodLimit = "limit.named"
-	// MethodListed carries what one gateway has read of the list of upstreams; the
-	// controller relays it to the others.
+	// MethodListed carries changes that one gateway has read from the list of upstreams. The
+	// controller relays them to the other gateways.
 	MethodListed = "directory.change"
-	// MethodPaused reports that a stream has paused for longer than its route allows.
+	// MethodPaused reports a pause between two events of a stream that exceeds its route's bound.
 	MethodPaused = "engine.paused"
-	// MethodMark announces up to which revision the sender's view of the operators'
+	// MethodWatermark publishes the revision up to which the sender's view of the operators'
 	// state is complete.
 	MethodMark = "estate.mark"
-	// MethodSend asks the keeper of an upstream's limit for one send; a call.
+	// MethodSend requests one send from the coordinator of an upstream's limit; a call.
 	MethodSend = "limit.send"
-	// MethodSent reports to the keeper of an upstream's limit what another one granted, what
-	// did not come about, and what the upstream says by now.
+	// MethodSent reports to the coordinator of an upstream's limit which sends another
+	// coordinator granted, which granted sends did not happen, and the limit as the upstream
+	// last named it.
 	MethodSent = "limit.sent"
-	// MethodStatus reports an engine to the gateways.
+	// MethodStatus reports the status of an engine to the gateways.
 	MethodStatus = "engine.status"
-	// MethodTake asks the leader of a workspace's quota shard for what a request counts; a
-	// call.
+	// MethodAcquireQuota requests a request's units from the leader of its workspace's quota
+	// shard; a call.
 	MethodTake = "quota.take"
-	// MethodUsing reports a pin that goes on to a controller that may not know it.
+	// MethodPinned reports an existing pin to a controller that may not have a record of it.
 	MethodUsing = "engine.using"
 )
 
 const (
-	// Heartbeat is the longest pause between two statuses: the same as between entries and agents.
+	// HeartbeatInterval is the longest time between two statuses, the same as between entries and agents.
 	Heartbeat = 500 * time.Millisecond
-	// HeartbeatTimeout is how long no status may arrive before a controller counts
-	// as unreachable.
+	// HeartbeatTimeout is the time without a status after which a controller counts as
+	// unreachable.
 	HeartbeatTimeout = 3 * Heartbeat
-	// LoadPatience is how much longer than its wait a request stays with an engine that is loading
-	// its adapter already: several loads under contention.
+	// ExtraLoadWait is how much longer than its normal wait a request stays with an engine that
+	// is already loading its adapter. It covers several loads under contention.
 	LoadPatience = 2 * time.Second
 )
 
-// ReadBufferBytes is the read buffer of a link: room for any status, of some 400 bytes
-// with all its slots. A hundred gateways and 160 controllers have 33,000 of them.
+// ReadBufferBytes is the size of a link's read buffer. It holds any status, which has some
+// 400 bytes with all its slots. A hundred gateways and 160 controllers have 33,000 of these
+// buffers.
 const ReadBufferBytes = 4 << 10
 
-// SlotState says what an engine does with an adapter.
+// SlotState is the state of an adapter at an engine.
 type SlotState string
 
 // The states of a slot.
 const (
 	SlotLoaded  SlotState = "loaded"
 	SlotLoading SlotState = "loading"
-	// SlotReplacing waits for runs on an older version to end.
+	// SlotReplacing means that the engine waits for runs on an older version to finish.
 	SlotReplacing SlotState = "replacing"
-	// SlotGone stands in changes for an adapter that the engine no longer holds.
-	SlotGone SlotState = "gone"
+	// SlotRemoved marks, in changes, an adapter that the engine has unloaded.
+	SlotRemoved SlotState = "gone"
 )
 
-// RefuseReason says why an acquire was refused.
+// RefuseReason is the reason why an Acquire was refused.
 type RefuseReason string
 
 // The reasons of a refusal.
 const (
-	// RefuseBackoff means that the engine wants no orders now, and does not hold the adapter.
+	// RefuseBackoff means that the engine is in backoff and has not loaded the adapter.
 	RefuseBackoff RefuseReason = "backoff"
-	// RefuseBusy means that more prompt tokens wait than MostWaiting allows.
+	// RefuseBusy means that more prompt tokens wait than MaxWaitingTokens allows.
 	RefuseBusy     RefuseReason = "busy"
 	RefuseDraining RefuseReason = "leaving"
-	// RefuseInstance means that another instance runs than the one that the gateway knows.
+	// RefuseInstance means that the running instance is not the one that the gateway named.
 	RefuseInstance RefuseReason = "instance"
-	// RefuseLeft means that the gateway has ended the request meanwhile.
+	// RefuseCanceled means that the gateway has canceled the request in the meantime.
 	RefuseLeft RefuseReason = "left"
-	// RefuseNoModel means that the engine does not hold the base model.
+	// RefuseNoModel means that the engine has not loaded the base model.
 	RefuseNoModel RefuseReason = "no-model"
-	// RefuseUnreachable means that the engine does not answer its controller.
+	// RefuseUnreachable means that the engine does not respond to its controller.
 	RefuseUnreachable RefuseReason = "silent"
-	// RefuseSlots means that no slot came free in time.
+	// RefuseNoSlot means that no slot became free in time.
 	RefuseSlots RefuseReason = "slots"
 )
 
 // Hello opens a link.
 type Hello struct {
 	Box sandbarrow.BoxID `json:"box"`
-	// Changes says that the gateway reads statuses that carry changes of the slots.
+	// Changes says that the gateway supports statuses that carry only changes of the slots.
 	Changes bool `json:"changes,omitempty"`
-	// Speed is the last estimate that the gateway saw of the engine's speed, or that
-	// of other engines; zero where it saw none.
+	// Speed is the last estimate of the engine's prefill speed that the gateway received, or
+	// that of other engines. It is zero if the gateway has received none.
 	Speed readspeed.Speed `json:"speed"`
-	// Token is the newest fencing token that the gateway saw of this controller.
+	// Token is the newest fencing token that the gateway has received from this controller.
 	Token sandbarrow.FencingToken `json:"token"`
 }
 
-// Crashes are requests under which upstreams have ended.
+// Crashes are requests under which upstreams have exited.
 type Crashes struct {
 	Records []crash.Record `json:"records"`
 }
 
-// Lead asks a controller to lead a quota shard.
+// Lead requests that a controller leads a quota shard.
 type Lead struct {
 	Shard quota.Shard `json:"shard"`
-	// Term is the newest term that the gateway knows of, or 0.
+	// Term is the newest term that the gateway has seen, or 0.
 	Term quota.Term `json:"term,omitempty"`
 }
 
-// LeadTerm is one term of a shard's leader.
+// ShardTerm is the term in which a shard is led.
 type LeadTerm struct {
 	Shard quota.Shard `json:"shard"`
 	Term  quota.Term  `json:"term"`
 }
 
-// Leads are all shards that a controller leads.
+// LedShards are all shards that a controller leads.
 type Leads struct {
 	Terms []LeadTerm `json:"terms"`
 }
 
-// Take asks the leader of a shard for what a request counts against the part of its
-// workspace's limit that the shard has.
+// AcquireQuota requests units of a workspace's limit from the leader of a shard. They count
+// against the shard's share of the limit.
 type Take struct {
 	Shard     quota.Shard            `json:"shard"`
 	Units     int64                  `json:"units"`
 	Workspace sandbarrow.WorkspaceID `json:"workspace"`
 }
 
-// Taken answers a Take.
+// QuotaGrant is the reply to an AcquireQuota.
 type Taken struct {
 	Granted bool `json:"granted,omitempty"`
-	// LifeMS is how long the grant may be used, in milliseconds from when it was asked for.
+	// ValidForMS is how long the grant may be used, in milliseconds from when it was requested.
 	LifeMS int64 `json:"life_ms,omitempty"`
-	// NotLeading says that the controller leads the shard no more, or does not know the
-	// workspace: another one may.
+	// NotLeader says that the controller no longer leads the shard, or does not know the
+	// workspace. Another controller may.
 	NotLeading bool `json:"not_leading,omitempty"`
-	// RetryMS is when a request that was not granted may come back, in milliseconds.
+	// RetryAfterMS is after how many milliseconds a request that was not granted may be retried.
 	RetryMS int64 `json:"retry_ms,omitempty"`
-	// Young says that the term has just begun, with nothing to grant: a request that was not
-	// granted is better asked for again than refused.
+	// NewTerm says that the term has just begun and has no units yet. A request that was not
+	// granted should then be retried and not refused.
 	Young bool `json:"young,omitempty"`
 }
 
-// Limits are what upstreams say of their limits.
+// Limits are the limits that upstreams have named.
 type Limits struct {
 	Records []throttle.Record `json:"records"`
 }
 
-// Send asks for one send to an upstream that names a limit.
+// Send requests one send to an upstream that names a limit.
 type Send struct {
 	throttle.Record
-	// WithinMS is how long the send may wait, in milliseconds.
+	// MaxWaitMS is how long the send may wait, in milliseconds.
 	WithinMS int64 `json:"within_ms,omitempty"`
 }
 
-// SendGrant answers a Send.
+// SendGrant is the reply to a Send.
 type SendGrant struct {
 	Granted bool `json:"granted,omitempty"`
-	// Limit is what the keeper knows of the upstream's limit; nil where it knows nothing.
+	// Limit is the upstream's limit as the coordinator knows it, or nil if it knows none.
 	Limit *throttle.Record `json:"limit,omitempty"`
-	// WaitMS is after how long the send may come, in milliseconds; where it is not granted,
-	// after how long one may be.
+	// WaitMS is how many milliseconds to wait before the send. If the send is not granted, it
+	// is after how many milliseconds one may be granted.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// Sent reports what became of sends to an upstream that names a limit.
+// Sent reports the outcome of sends to an upstream that names a limit.
 type Sent struct {
 	throttle.Record
-	// Sends counts those that another keeper granted; negative, that did not come about.
+	// Sends counts the sends that another coordinator granted. A negative number counts granted
+	// sends that did not happen.
 	Sends int `json:"sends,omitempty"`
 }
 
-// Mark says up to which revisions a side's estate is complete.
+// Watermark holds the revisions up to which a side's estate is complete.
 type Mark = estate.Mark
 
-// Estate answers a fetch.
+// Estate is the reply to a fetch.
 type Estate struct {
-	// AgeMS is how long ago the sender's state was confirmed as the newest, in
-	// milliseconds at the answer; nil where it never was.
+	// AgeMS is how many milliseconds before the reply the sender's state was confirmed as the
+	// newest. It is nil if it never was.
 	AgeMS *int64 `json:"age_ms,omitempty"`
 	// Earlier holds the revisions up to which the sender is complete in earlier eras of the store.
 	Earlier []sandbarrow.StoreRevision `json:"earlier,omitempty"`
 	Items   []sandbarrow.KeyItem       `json:"items"`
 	Mark    sandbarrow.StoreRevision   `json:"mark"`
-	// Table is the revision of the sender's table of routes.
+	// Table is the revision of the sender's routing table.
 	Table sandbarrow.StoreRevision `json:"table,omitempty"`
 }
 
-// Acquire asks to pin an adapter, or to use a base model alone.
+// Acquire requests a pin on an adapter, or the use of a base model without an adapter.
 type Acquire struct {
 	Adapter  sandbarrow.AdapterID   `json:"adapter,omitempty"`
 	ID       sandbarrow.RequestID   `json:"id"`
 	Instance sandbarrow.InstanceID  `json:"instance"`
 	Model    sandbarrow.BaseModelID `json:"model"`
-	// MostWaiting is how many prompt tokens may wait at the engine for it to be
-	// the best choice still; 0 takes it in any case.
+	// MaxWaitingTokens is how many prompt tokens may wait at the engine before another engine
+	// becomes the better choice. With 0 the controller accepts the request in any case.
 	MostWaiting int `json:"most_waiting,omitempty"`
 	Priority    int `json:"priority"`
-	// Stretches are those of the prompt, for an estimate of what the engine keeps of it.
+	// PromptPrefixes are the prefixes of the prompt. They serve to estimate how much of it the
+	// engine has cached.
 	Stretches []promptcache.Stretch `json:"stretches,omitempty"`
 	Tokens    int                   `json:"tokens"`
-	// UsefulMS is how long a grant still lets the answer be in time, in
-	// milliseconds; it may be negative.
+	// SlackMS is within how many milliseconds a grant must arrive for the response to be in
+	// time. It may be negative.
 	UsefulMS int64 `json:"useful_ms"`
-	// Version is the least version that may run.
+	// Version is the minimum version that may run.
 	Version sandbarrow.AdapterVersion `json:"version"`
-	// WaitMS is how long the gateway waits for a load to begin, in milliseconds.
+	// WaitMS is how many milliseconds the gateway waits for a load to begin.
 	WaitMS int64 `json:"wait_ms"`
 }
 
-// Kept is what changed of the prompt parts that an engine keeps, as its controller
-// estimates it.
+// CachedPrompts are changes of the prompt prefixes that an engine has cached, as estimated
+// by its controller.
 type Kept struct {
-	// All says that the changes are all that is kept.
+	// Complete says that the changes are the complete list of cached prefixes.
 	All     bool                 `json:"all,omitempty"`
 	Changes []promptcache.Change `json:"changes"`
 }
 
-// Grant answers an acquire.
+// Grant is the reply to an Acquire.
 type Grant struct {
-	// ModelVersion is that of the base model that the engine runs; 0 where it is not known.
+	// ModelVersion is the version of the base model that the engine runs, or 0 if it is unknown.
 	ModelVersion sandbarrow.ModelVersion   `json:"model_version,omitempty"`
 	Refused      RefuseReason              `json:"refused,omitempty"`
 	Version      sandbarrow.AdapterVersion `json:"version,omitempty"`
-	// Waiting comes with RefuseBusy: the prompt tokens that wait.
+	// Waiting counts the waiting prompt tokens. It is set together with RefuseBusy.
 	Waiting int `json:"waiting,omitempty"`
-	// WaitingByPriority comes with it: the same by the priority of their routes.
+	// WaitingByPriority splits Waiting by the priority of the routes.
 	WaitingByPriority *Waiting `json:"waiting_by_priority,omitempty"`
 }
 
-// Weights are the versions with which the engine runs the request.
+// Weights returns the versions with which the engine runs the request.
 func (g *Grant) Weights() sandbarrow.WeightsVersion {
 	return sandbarrow.WeightsVersion{Adapter: g.Version, Model: g.ModelVersion}
 }
 
-// Pin names the pin of one request.
+// Pin identifies the pin of one request.
 type Pin struct {
 	ID sandbarrow.RequestID `json:"id"`
 }
--- a/enginelink/status.go
+++ b/enginelink/status.go
@@ -7,8 +7,8 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-// SlotStatus is one adapter of an engine. Its names are short on the wire,
-// since statuses are most of what a link carries.
+// SlotStatus is one adapter of an engine. Its names on the wire are short because statuses
+// are most of the traffic of a link.
 type SlotStatus struct {
 	Adapter sandbarrow.AdapterID      `json:"a"`
 	Model   sandbarrow.BaseModelID    `json:"m,omitempty"`
@@ -16,14 +16,14 @@
 	Version sandbarrow.AdapterVersion `json:"v"`
 }
 
-// Key names the adapter.
+// Key returns the key of the adapter.
 func (s *SlotStatus) Key() sandbarrow.AdapterKey {
 	return sandbarrow.AdapterKey{Adapter: s.Adapter, Model: s.Model}
 }
 
-// compact leaves out of each slot what the reader can fill in: the engine's first model,
-// and the state of a loaded adapter.
-func compact(slots []SlotStatus, models []sandbarrow.BaseModelID) {
+// omitDefaults clears the values that the reader can fill in: the engine's first model, and
+// the state of a loaded adapter.
+func omitDefaults(slots []SlotStatus, models []sandbarrow.BaseModelID) {
 	for i := range slots {
 		if len(models) > 0 && slots[i].Model == models[0] {
 			slots[i].Model = ""
@@ -34,8 +34,8 @@
 	}
 }
 
-// expand undoes compact.
-func expand(slots []SlotStatus, models []sandbarrow.BaseModelID) {
+// fillDefaults reverses omitDefaults.
+func fillDefaults(slots []SlotStatus, models []sandbarrow.BaseModelID) {
 	for i := range slots {
 		if len(models) > 0 && slots[i].Model == "" {
 			slots[i].Model = models[0]
@@ -46,28 +46,28 @@
 	}
 }
 
-// Full is the status for a reader that has none.
+// Full returns the complete status, for a reader that has none.
 func (s Status) Full() Status {
 	s.Slots = slices.Clone(s.Slots)
-	compact(s.Slots, s.Models)
+	omitDefaults(s.Slots, s.Models)
 	return s
 }
 
-// Brief is the status for a reader that knows what the engine holds.
+// Brief returns the status without models, slots, loads and speed, for a reader that has
+// their current values.
 func (s Status) Brief() Status {
 	s.Loads, s.Models, s.ModelVersions, s.Slots, s.Speed, s.Same = Loads{}, nil, nil, nil, readspeed.Speed{}, true
 	return s
 }
 
-// Since is the status for a reader that has last. It returns false where that reader
-// needs the full one, since the engine holds other base models, or others of their
-// versions.
+// Since returns the status for a reader that has the status last. It returns false if the
+// reader needs the full status because the base models or their versions have changed.
 func (s Status) Since(last *Status) (Status, bool) {
 	if !s.SameModels(last) {
 		return Status{}, false
 	}
 	changes := slotChanges(last.Slots, s.Slots)
-	compact(changes, s.Models)
+	omitDefaults(changes, s.Models)
 	loads, speed := s.Loads, s.Speed
 	s = s.Brief()
 	s.Changes = changes
@@ -80,7 +80,7 @@
 	return s, true
 }
 
-// slotChanges lists the slots that differ from before, and those that are gone.
+// slotChanges returns the slots that differ from before, and the removed ones.
 func slotChanges(before, now []SlotStatus) []SlotStatus {
 	var changes []SlotStatus
 	for i := range now {
@@ -91,26 +91,26 @@
 	for i := range before {
 		same := func(s SlotStatus) bool { return s.Key() == before[i].Key() }
 		if !slices.ContainsFunc(now, same) {
-			changes = append(changes, SlotStatus{Adapter: before[i].Adapter, Model: before[i].Model, State: SlotGone})
+			changes = append(changes, SlotStatus{Adapter: before[i].Adapter, Model: before[i].Model, State: SlotRemoved})
 		}
 	}
 	return changes
 }
 
-// applyChanges returns the slots after changes.
+// applyChanges returns the slots with the changes applied.
 func applyChanges(before, changes []SlotStatus) []SlotStatus {
 	now := slices.Clone(before)
 	for i := range changes {
 		now = slices.DeleteFunc(now, func(s SlotStatus) bool { return s.Key() == changes[i].Key() })
-		if changes[i].State != SlotGone {
+		if changes[i].State != SlotRemoved {
 			now = append(now, changes[i])
 		}
 	}
 	return now
 }
 
-// ModelVersion is the version of a base model that the engine holds, or 0 where it holds
-// none or its version is not known.
+// ModelVersion returns the version of a base model. It is 0 if the engine has not loaded the
+// model or the version is unknown.
 func (s *Status) ModelVersion(m sandbarrow.BaseModelID) sandbarrow.ModelVersion {
 	i := slices.Index(s.Models, m)
 	if i < 0 || i >= len(s.ModelVersions) {
@@ -130,7 +130,7 @@
 }
 
 // Weights returns the versions with which the engine would run a request for an adapter
-// now; zero where it has not loaded it, or they are not known.
+// now. They are zero if the adapter is not loaded or a version is unknown.
 func (s *Status) Weights(k sandbarrow.AdapterKey) sandbarrow.WeightsVersion {
 	v := sandbarrow.WeightsVersion{Model: s.ModelVersion(k.Model)}
 	if slot := s.Slot(k); slot != nil && slot.State == SlotLoaded {
@@ -142,20 +142,21 @@
 	return v
 }
 
-// SameModels reports whether the engine holds the same base models at the same versions.
+// SameModels reports whether both statuses have the same base models at the same versions.
 func (s *Status) SameModels(other *Status) bool {
 	return slices.Equal(s.Models, other.Models) && slices.Equal(s.ModelVersions, other.ModelVersions)
 }
 
-// Expand undoes Full, and Brief and Since with the help of the last status.
+// Expand restores the status from the result of Full, or from that of Brief or Since and the
+// last status.
 func (s *Status) Expand(last *Status) {
 	if !s.Same {
-		expand(s.Slots, s.Models)
+		fillDefaults(s.Slots, s.Models)
 		return
 	}
 	s.Models, s.ModelVersions, s.Slots, s.Same = last.Models, last.ModelVersions, last.Slots, false
 	if len(s.Changes) > 0 {
-		expand(s.Changes, s.Models)
+		fillDefaults(s.Changes, s.Models)
 		s.Slots = applyChanges(last.Slots, s.Changes)
 		s.Changes = nil
 	}
@@ -167,44 +168,46 @@
 	}
 }
 
-// Loads is what a controller has seen of loads from the weight store.
+// Loads summarizes the loads from the weight store that a controller has observed.
 type Loads struct {
-	// Count counts them.
+	// Count is the number of loads.
 	Count uint64 `json:"n"`
-	// TookMS is how long the last one took, in milliseconds.
+	// LastLoadMS is how many milliseconds the last load took.
 	TookMS int64 `json:"t"`
 }
 
-// Status is what a controller knows of its engine.
+// Status is the state of an engine as its controller reports it.
 type Status struct {
-	// Changes are those of Slots since the last status on this link, where Same is set.
+	// Changes are the changes of Slots since the last status on this link. They are used only
+	// if OmitsUnchanged is set.
 	Changes []SlotStatus `json:"c,omitempty"`
-	// Free counts the slots that are free or could be made free at once.
+	// Free counts the slots that are free or can be freed immediately.
 	Free int `json:"f"`
 	// Gateways counts the gateways that are linked to the controller.
 	Gateways int                   `json:"g"`
 	Instance sandbarrow.InstanceID `json:"i,omitempty"`
 	Draining bool                  `json:"leaving,omitempty"`
-	// Loads are those of the engine that came from the weight store.
+	// Loads are the engine's loads from the weight store.
 	Loads  Loads                    `json:"l,omitzero"`
 	Models []sandbarrow.BaseModelID `json:"m,omitempty"`
-	// ModelVersions are those of Models, in their order; empty from a controller that does
-	// not report them.
+	// ModelVersions are the versions of Models, in the same order. They are empty if the
+	// controller does not report versions.
 	ModelVersions []sandbarrow.ModelVersion `json:"mv,omitempty"`
-	// Running counts granted pins.
+	// Running counts the granted pins.
 	Running int `json:"r"`
-	// Same says that what of Loads, Models, their versions, Slots and Speed is left out is that of the last
-	// status on this link.
+	// OmitsUnchanged says that the status is incomplete: Models, ModelVersions and Slots have the
+	// values of the last status on this link (Slots with Changes applied), and so have Loads and
+	// Speed where they are zero.
 	Same bool `json:"k,omitempty"`
-	// EngineUnreachable says that the engine does not answer.
+	// EngineUnreachable says that the engine does not respond to its controller.
 	EngineUnreachable bool         `json:"silent,omitempty"`
 	Slots             []SlotStatus `json:"s,omitempty"`
-	// Speed is how fast the engine reads prompts, as estimated from its answers.
+	// Speed is the engine's prefill speed, estimated from its responses.
 	Speed readspeed.Speed         `json:"p,omitzero"`
 	Token sandbarrow.FencingToken `json:"t"`
-	// WaitingTokens are the prompts whose answer has not begun, those that wait
-	// for their adapter among them.
+	// WaitingTokens counts the tokens of the prompts whose response has not started, including
+	// those that wait for their adapter.
 	WaitingTokens int `json:"w"`
-	// WaitingByPriority are the same by the priority of their routes.
+	// WaitingByPriority splits WaitingTokens by the priority of the routes.
 	WaitingByPriority *Waiting `json:"wp,omitempty"`
 }
--- a/enginelink/status_test.go
+++ b/enginelink/status_test.go
@@ -17,12 +17,12 @@
 	"sandbarrow.example/sandbarrow/readspeed"
 )
 
-func TestStatusSurvivesTheWire(t *testing.T) {
-	held := []SlotStatus{
+func TestStatusRoundTrip(t *testing.T) {
+	slotList := []SlotStatus{
 		{Adapter: "a", Model: "base", State: SlotLoaded, Version: 3},
 		{Adapter: "b", Model: "other", State: SlotLoading, Version: 1},
 	}
-	first := Status{Free: 1, Instance: "i", Models: []sandbarrow.BaseModelID{"base"}, ModelVersions: []sandbarrow.ModelVersion{7}, Running: 2, Slots: held, Loads: Loads{Count: 7, TookMS: 260}, Speed: readspeed.Speed{Base: time.Millisecond, PerToken: time.Microsecond}}
+	first := Status{Free: 1, Instance: "i", Models: []sandbarrow.BaseModelID{"base"}, ModelVersions: []sandbarrow.ModelVersion{7}, Running: 2, Slots: slotList, Loads: Loads{Count: 7, TookMS: 260}, Speed: readspeed.Speed{Base: time.Millisecond, PerToken: time.Microsecond}}
 	second := first
 	second.Running, second.WaitingTokens, second.WaitingByPriority = 3, 500, &Waiting{100, 400}
 	var last Status
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestStatusChangesSurviveTheWire(t *testing.T) {
+func TestStatusChangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := func(name string) []SlotStatus {
 			var list []SlotStatus
@@ -99,8 +99,8 @@
 	assert.Assert(t, !ok, "other base models need the full status")
 }
 
-// A base model's version is known only where the controller reports it.
-func TestModelVersion(t *testing.T) {
+// The version is 0 for a model that is not loaded or whose version the controller does not report.
+func TestModelVersionIsZeroIfUnknown(t *testing.T) {
 	s := Status{Models: []sandbarrow.BaseModelID{"base", "other"}, ModelVersions: []sandbarrow.ModelVersion{7}}
 	assert.Equal(t, s.ModelVersion("base"), sandbarrow.ModelVersion(7))
 	assert.Equal(t, s.ModelVersion("other"), sandbarrow.ModelVersion(0))
--- a/enginelink/waiting.go
+++ b/enginelink/waiting.go
@@ -2,19 +2,19 @@
 
 import "encoding/json"
 
-// waitingLevels is how many priorities of routes are told apart; the last level holds
-// all lower ones. The users' routes have three.
-const waitingLevels = 4
+// priorityLevels is how many priorities of routes are counted separately. The last level
+// includes all lower priorities. The users' routes have three.
+const priorityLevels = 4
 
-// overtakenShare is the part of the less urgent prompts that a request waits for all the
-// same: the piece that the engine reads when it arrives.
-const overtakenShare = 0.25
+// lowerPriorityShare is the share of the less urgent prompt tokens that a request still waits
+// for: the chunk that the engine is already processing when the request arrives.
+const lowerPriorityShare = 0.25
 
-// Waiting counts the prompt tokens that an engine has yet to read, by the priority of
-// their routes: engines read the more urgent first.
-type Waiting [waitingLevels]int
+// Waiting counts the prompt tokens that wait for prefill at an engine, by the priority of
+// their routes. Engines process the more urgent ones first.
+type Waiting [priorityLevels]int
 
-// MarshalJSON leaves out the zeros at the end: most of what a link carries are statuses.
+// MarshalJSON omits trailing zeros to keep statuses small: they are most of the traffic of a link.
 func (w Waiting) MarshalJSON() ([]byte, error) {
 	levels := w[:]
 	for len(levels) > 0 && levels[len(levels)-1] == 0 {
@@ -23,27 +23,26 @@
 	return json.Marshal(levels)
 }
 
-// Add counts the tokens of a request of a priority, or no longer where they are
-// negative.
+// Add adds the tokens of a request of a priority. A negative number removes them.
 func (w *Waiting) Add(priority, tokens int) {
 	w[levelOf(priority)] += tokens
 }
 
-// Ahead is how many tokens a new request of a priority waits for.
+// Ahead returns how many tokens a new request of a priority waits for.
 func (w *Waiting) Ahead(priority int) int {
 	level := levelOf(priority)
-	ahead, behind := 0, 0
+	ahead, lower := 0, 0
 	for i, tokens := range w {
 		if i <= level {
 			ahead += tokens
 		} else {
-			behind += tokens
+			lower += tokens
 		}
 	}
-	return ahead + int(overtakenShare*float64(behind))
+	return ahead + int(lowerPriorityShare*float64(lower))
 }
 
-// Total is how many tokens wait.
+// Total returns the number of waiting tokens.
 func (w *Waiting) Total() int {
 	n := 0
 	for _, tokens := range w {
@@ -53,5 +52,5 @@
 }
 
 func levelOf(priority int) int {
-	return min(max(priority, 0), waitingLevels-1)
+	return min(max(priority, 0), priorityLevels-1)
 }
--- a/prefixwatch/prefixwatch.go
+++ b/prefixwatch/prefixwatch.go
@@ -1,7 +1,7 @@
-// Package prefixwatch follows a prefix of the platform's store: it reads all of the
-// prefix, then watches it, and reads all of it again when the store has forgotten
-// the history in between. It owns the pace of the calls and the backoff after
-// failures, and hands what it reads to a Consumer; gateways and controllers use it.
+// Package prefixwatch follows a prefix of the platform's store. It reads the whole prefix
+// and then watches it for changes. It reads the whole prefix again if the store has
+// compacted the history in between. It owns the rate of the calls and the backoff after
+// failures, and passes what it reads to a Consumer. Gateways and controllers use it.
 package prefixwatch
 
 import (
@@ -17,31 +17,31 @@
 	"sandbarrow.example/sandbarrow/internal/pause"
 )
 
-// DefaultWait is the longest wait of one watch of a process alone. A watch whose connection
-// has gone silent, without a reset, hides all changes until it is given up, after the wait
-// and mostSlack: that must be over well within the 3 s after which a process is held to the
-// bound for a change again (TestSilentWatchIsGivenUpInTime, TestRouteSoak).
+// DefaultWait is the longest wait of one watch if a process does not share its reads. If the
+// connection of a watch hangs without a reset, no change is seen until the watch times out
+// after the wait and maxSlack. This must be well within 3 s: from then on the process must
+// apply changes within their bound again (TestHungWatchTimesOutInTime, TestRouteSoak).
 const DefaultWait = 1200 * time.Millisecond
 
 const (
-	// readTimeout bounds a read of all of the prefix: after a loss of all power calls to
-	// a store that does not answer take up to 2 s.
+	// readTimeout bounds a read of the whole prefix. After a complete power loss, calls to a store
+	// that does not respond take up to 2 s.
 	readTimeout = 900 * time.Millisecond
-	// expectingPace is the shortest time between two watches while Expecting says so.
-	expectingPace = 150 * time.Millisecond
-	// paceSpread: the pace is shortened at random by up to one of so many parts.
-	paceSpread = 3
-	// coveredPause is the pause between two looks whether a watch is still covered.
-	coveredPause = 500 * time.Millisecond
-	// firstPause and longestPause bound the backoff after a failure, which doubles; many processes
-	// pause for longer (sharedPause).
-	firstPause   = 100 * time.Millisecond
-	longestPause = 800 * time.Millisecond
+	// expectingInterval is the shortest time between two watches while Expecting returns true.
+	expectingInterval = 150 * time.Millisecond
+	// jitterDivisor: intervals are shortened at random by up to 1/jitterDivisor.
+	jitterDivisor = 3
+	// coveredCheckInterval is the time between two calls of Covered while it returns true.
+	coveredCheckInterval = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the exponential backoff after failures. With many processes
+	// the upper bound is higher (sharedMaxBackoff).
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// Consumer applies what a Watch reads. What it was told by others meanwhile may be newer.
+// Consumer applies what a Watch reads. It may already have newer state from other processes.
 type Consumer interface {
-	// Replace applies all of the prefix as it stood at a revision.
+	// Replace applies the contents of the whole prefix at a revision.
 	Replace(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision)
 	// Update applies changes up to a revision.
 	Update(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision)
@@ -49,52 +49,53 @@
 
 // Watch follows one prefix.
 type Watch struct {
-	// Age is how long ago the consumer's state was last confirmed, by this watch or by
-	// other processes that share what they read; nil counts this watch alone.
+	// Age returns how long ago the consumer's state was last confirmed, by this watch or by
+	// other processes that share their reads. With nil, only this watch counts.
 	Age func() time.Duration
-	// Busy says that the prefix changes all the time, so that a watch is answered at once
-	// and need not wait longer where many processes share it.
+	// Busy says that the prefix changes constantly. Its watches return almost immediately. A
+	// longer wait is then not needed even if many processes share the prefix.
 	Busy     bool
 	Consumer Consumer
-	// Confirmed is told of each read of all of the prefix, after the consumer has applied it:
-	// what stood there, and when the store was asked. A watch tells nothing of that kind:
-	// one may hear nothing for a while before its history is dropped. nil is not told.
-	Confirmed func(asked time.Time, items []sandbarrow.KeyItem)
-	// Covered says that other processes bring what changes, so that no call is made;
-	// nil never does.
+	// OnFullRead, if not nil, is called after each read of the whole prefix, when the consumer
+	// has applied it. It gets the time of the request and the items. It is not called for
+	// watches: a watch may return nothing for some time before its history is dropped, and
+	// therefore confirms nothing.
+	Confirmed func(requestedAt time.Time, items []sandbarrow.KeyItem)
+	// Covered reports whether other processes deliver all changes. No calls are made while it
+	// returns true. nil means never.
 	Covered func() bool
-	// Expecting says that changes are expected soon, so that expectingPace holds in
-	// place of a longer Pace; nil never does.
+	// Expecting reports whether changes are expected soon. While it returns true,
+	// expectingInterval replaces a longer MinInterval. nil means never.
 	Expecting func() bool
 	Logger    *slog.Logger
-	// Mark is the revision up to which the consumer is complete, where other processes
-	// bring changes too.
+	// Watermark returns the revision up to which the consumer is complete. It is set if other
+	// processes deliver changes too.
 	Mark func() sandbarrow.StoreRevision
-	// Pace is the shortest time between two watches, so that a busy prefix
-	// costs few calls; changes in between arrive together.
+	// MinInterval is the shortest time between two watches. It limits the calls for a busy
+	// prefix; changes in between arrive together.
 	Pace   time.Duration
 	Prefix string
-	// Sharing is how many processes follow the prefix and tell each other of each change,
-	// this one among them; nil is this one alone.
+	// ProcessCount returns how many processes follow the prefix and send each other all
+	// changes, including this one. nil means only this one.
 	Sharing func() int
 	Store   sandbarrow.PrefixStore
-	// Wait is the longest wait of one watch call of a process alone.
+	// Wait is the longest wait of one watch call if the process does not share its reads.
 	Wait time.Duration
 
-	// answers is how long the store takes to answer.
-	answers answerTime
+	// responses estimates how long the store takes to respond.
+	responses responseTime
 }
 
 // Run follows the prefix until ctx ends.
 func (w *Watch) Run(ctx context.Context) error {
 	var at sandbarrow.StoreRevision
 	known, up := false, true
-	var lost time.Time // when the first call of those began that failed
-	backoff := firstPause
+	var lost time.Time // when the first of the failed calls began
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		if w.Covered != nil && w.Covered() {
-			known = false // the history may be forgotten meanwhile
-			pause.For(ctx, coveredPause)
+			known = false // the store may compact the history in the meantime
+			pause.For(ctx, coveredCheckInterval)
 			continue
 		}
 		began := time.Now()
@@ -104,8 +105,8 @@
 			if !up {
 				w.Logger.Info("store regained", "prefix", w.Prefix, "revision", next, "lost_ms", time.Since(lost).Milliseconds())
 			}
-			at, known, up, backoff = next, true, true, firstPause
-			w.waitForPace(ctx, began)
+			at, known, up, backoff = next, true, true, minBackoff
+			w.waitForInterval(ctx, began)
 		case ctx.Err() != nil:
 		default:
 			if errors.Is(err, sandbarrow.ErrStoreCompacted) {
@@ -116,10 +117,10 @@
 				w.Logger.Warn("store lost", "prefix", w.Prefix, "revision", at, "waited_ms", time.Since(began).Milliseconds(), "error", err.Error())
 			}
 			up = false
-			// A call that was silent has taken its time: another pause would add to the time in
-			// which changes go unheard.
+			// The duration of the failed call counts towards the pause. After a hung call a full
+			// pause would extend the time in which changes are missed.
 			pause.For(ctx, backoff/2+rand.N(backoff)-time.Since(began))
-			backoff = min(2*backoff, sharedPause(w.sharing()))
+			backoff = min(2*backoff, sharedMaxBackoff(w.processCount()))
 			w.waitWhileFresh(ctx)
 		}
 		if known && w.Mark != nil {
@@ -129,57 +130,57 @@
 	return nil
 }
 
-// waitForPace waits until the next watch is due.
-func (w *Watch) waitForPace(ctx context.Context, began time.Time) {
+// waitForInterval waits until the next watch is due.
+func (w *Watch) waitForInterval(ctx context.Context, began time.Time) {
 	if w.Age == nil {
-		pause.For(ctx, w.pace()-time.Since(began))
+		pause.For(ctx, w.interval()-time.Since(began))
 	}
 	w.waitWhileFresh(ctx)
 }
 
-// waitWhileFresh waits while other processes have brought changes within the pace; a
-// watch that nobody shares does not wait.
-// The pace is shortened at random, so that of many that share their watches one
-// is the first.
+// waitWhileFresh waits while another process has confirmed the state within the interval. A
+// watch that is not shared does not wait. The interval is shortened at random, to make one of
+// the processes that share their watches the first.
 func (w *Watch) waitWhileFresh(ctx context.Context) {
 	if w.Age == nil {
 		return
 	}
-	pace := w.pace()
-	pace -= rand.N(pace/paceSpread + 1)
-	for left := pace - w.Age(); left > 0 && ctx.Err() == nil; left = pace - w.Age() {
+	interval := w.interval()
+	interval -= rand.N(interval/jitterDivisor + 1)
+	for left := interval - w.Age(); left > 0 && ctx.Err() == nil; left = interval - w.Age() {
 		pause.For(ctx, left)
 	}
 }
 
-// sharing is how many processes share what they read.
-func (w *Watch) sharing() int {
+// processCount returns how many processes share their reads.
+func (w *Watch) processCount() int {
 	if w.Sharing == nil {
 		return 1
 	}
 	return w.Sharing()
 }
 
-func (w *Watch) pace() time.Duration {
+func (w *Watch) interval() time.Duration {
 	if w.Expecting != nil && w.Expecting() {
-		return min(w.Pace, expectingPace)
+		return min(w.Pace, expectingInterval)
 	}
 	return w.Pace
 }
 
-// step reads all of the prefix or, if that is known, watches it once. After a failed call the watch does not
-// wait, so that a restore of the store is detected even if its new revisions have passed the old ones.
+// step reads the whole prefix or, if it is known, watches it once. After a failed call the watch
+// does not wait. This way a restore of the store is detected even if its new revisions have passed
+// the old ones.
 func (w *Watch) step(ctx context.Context, at sandbarrow.StoreRevision, known, up bool) (sandbarrow.StoreRevision, error) {
 	if !known {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
-		asked := boottime.Now()
+		requestedAt := boottime.Now()
 		items, at, err := w.Store.Range(ctx, w.Prefix)
 		if err == nil {
 			w.Consumer.Replace(items, at)
 		}
 		if err == nil && w.Confirmed != nil {
-			w.Confirmed(asked, items)
+			w.Confirmed(requestedAt, items)
 		}
 		return at, err
 	}
@@ -188,22 +189,22 @@
 		wait = 0
 	}
 	began := time.Now()
-	call, cancel := context.WithTimeout(ctx, wait+w.answers.bound())
+	call, cancel := context.WithTimeout(ctx, wait+w.responses.bound())
 	defer cancel()
 	items, next, err := w.Store.WatchPrefix(call, w.Prefix, at, wait)
 	switch {
 	case err == nil:
-		w.answers.answered(time.Since(began) - wait)
+		w.responses.observe(time.Since(began) - wait)
 		w.Consumer.Update(items, next)
 	case call.Err() != nil:
-		w.answers.missed()
+		w.responses.timedOut()
 	}
 	return next, err
 }
 
-// wait is how long the next watch waits.
+// wait returns how long the next watch waits.
 func (w *Watch) wait() time.Duration {
-	processes := w.sharing()
+	processes := w.processCount()
 	if w.Busy {
 		processes = 1
 	}
--- a/prefixwatch/prefixwatch_test.go
+++ b/prefixwatch/prefixwatch_test.go
@@ -15,17 +15,17 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// view is a Consumer that keeps what it was told.
+// view is a Consumer that stores what it receives.
 type view struct {
-	mu       sync.Mutex
-	items    map[string]string
-	replaced int
+	mu        sync.Mutex
+	items     map[string]string
+	fullReads int
 }
 
 func (v *view) Replace(items []sandbarrow.KeyItem, _ sandbarrow.StoreRevision) {
 	v.mu.Lock()
 	v.items = map[string]string{}
-	v.replaced++
+	v.fullReads++
 	v.mu.Unlock()
 	v.Update(items, 0)
 }
@@ -48,7 +48,7 @@
 	return v.items[key]
 }
 
-// faulty is a store whose next calls fail with err.
+// faulty is a store whose calls fail with err if it is set.
 type faulty struct {
 	*store.Memory
 	mu    sync.Mutex
@@ -83,7 +83,7 @@
 	items, at, err := f.Memory.WatchPrefix(ctx, prefix, after, wait)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.err != nil { // it failed while the call waited
+	if f.err != nil { // the fault was set while the call waited
 		return nil, 0, f.err
 	}
 	return items, at, err
@@ -95,13 +95,13 @@
 	assert.NilError(t, err)
 }
 
-func start(t *testing.T, pace time.Duration) (*faulty, *view) {
+func start(t *testing.T, interval time.Duration) (*faulty, *view) {
 	t.Helper()
 	f := &faulty{Memory: store.NewMemory()}
 	v := &view{}
 	put(t, f, "p/a", "1")
 	put(t, f, "q/a", "other")
-	w := Watch{Consumer: v, Logger: slog.New(slog.DiscardHandler), Pace: pace, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond}
+	w := Watch{Consumer: v, Logger: slog.New(slog.DiscardHandler), Pace: interval, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
@@ -115,10 +115,10 @@
 
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
-	await.Until(t, 5*time.Second, "what is awaited", ok)
+	await.Until(t, 5*time.Second, "the expected state", ok)
 }
 
-func TestFollows(t *testing.T) {
+func TestWatchAppliesChanges(t *testing.T) {
 	f, v := start(t, 0)
 	put(t, f, "p/b", "2")
 	eventually(t, func() bool { return v.get("p/b") == "2" })
@@ -128,7 +128,7 @@
 	assert.Equal(t, v.get("q/a"), "")
 }
 
-func TestManyProcessesCallLess(t *testing.T) {
+func TestManyProcessesMakeFewerCallsEach(t *testing.T) {
 	calls := func(processes int) int {
 		f := &faulty{Memory: store.NewMemory()}
 		v := &view{}
@@ -147,15 +147,15 @@
 		defer f.mu.Unlock()
 		return f.calls
 	}
-	const needed = 2 // the first read, and the watch that the change ends
-	// The waits are drawn at random: of one of many, two short ones in a row may come, in
-	// some 2 of 1,000 runs, so that several are counted together.
+	const needed = 2 // the first read, and the watch that returns with the change
+	// The waits are random. In some 2 of 1,000 runs, one of many processes draws two short waits
+	// in a row. The calls of several runs are therefore added up.
 	const runs = 6
-	alone, many := 0, 0
+	single, many := 0, 0
 	counts := make(chan [2]int, 2*runs)
 	count := func(processes, kind int) {
 		var n [2]int
-		defer func() { counts <- n }() // also where a check ends this goroutine
+		defer func() { counts <- n }() // also if a failed check ends this goroutine
 		n[kind] = calls(processes) - needed
 	}
 	for range runs {
@@ -164,26 +164,26 @@
 	}
 	for range 2 * runs {
 		n := <-counts
-		alone += n[0]
+		single += n[0]
 		many += n[1]
 	}
-	assert.Assert(t, alone > 2*many, "%d calls alone, %d of one of many", alone, many)
+	assert.Assert(t, single > 2*many, "%d calls without sharing, %d as one of many", single, many)
 }
 
-// What changes during an outage is read after it, without a new read of all.
-func TestOutage(t *testing.T) {
+// Changes during an outage must be read after it, without another full read.
+func TestWatchResumesAfterOutage(t *testing.T) {
 	f, v := start(t, 0)
 	f.fail(sandbarrow.ErrStoreUnavailable)
 	put(t, f, "p/b", "2")
 	time.Sleep(100 * time.Millisecond)
 	assert.Equal(t, v.get("p/b"), "")
-	assert.Equal(t, v.get("p/a"), "1", "the last view holds")
+	assert.Equal(t, v.get("p/a"), "1", "the last view stays in use")
 	f.fail(nil)
 	eventually(t, func() bool { return v.get("p/b") == "2" })
-	assert.Equal(t, v.replaced, 1)
+	assert.Equal(t, v.fullReads, 1)
 }
 
-func TestCompaction(t *testing.T) {
+func TestCompactionCausesFullRead(t *testing.T) {
 	f, v := start(t, 0)
 	f.fail(sandbarrow.ErrStoreCompacted)
 	_, err := f.Commit(t.Context(), sandbarrow.Transaction{Remove: []string{"p/a"}})
@@ -193,11 +193,11 @@
 	f.fail(nil)
 	eventually(t, func() bool { return v.get("p/b") == "2" })
 	assert.Equal(t, v.get("p/a"), "")
-	assert.Equal(t, v.replaced, 2)
+	assert.Equal(t, v.fullReads, 2)
 }
 
-// A pace bounds the calls however often the prefix changes.
-func TestPace(t *testing.T) {
+// The interval must bound the calls however often the prefix changes.
+func TestMinIntervalBoundsCalls(t *testing.T) {
 	f, v := start(t, 100*time.Millisecond)
 	for i := range 100 {
 		put(t, f, "p/a", string(rune('A'+i%26)))
@@ -210,8 +210,8 @@
 	assert.Assert(t, f.calls < 25, "%d calls", f.calls)
 }
 
-// While changes are awaited the pace does not hold them up.
-func TestHurry(t *testing.T) {
+// Expected changes must not be delayed by the interval.
+func TestExpectingShortensInterval(t *testing.T) {
 	f := &faulty{Memory: store.NewMemory()}
 	v := &view{}
 	w := Watch{
@@ -226,8 +226,8 @@
 	eventually(t, func() bool { return v.get("p/a") == "1" })
 }
 
-// While others bring what changes, no call is made; afterwards all is read anew.
-func TestCovered(t *testing.T) {
+// A covered watch makes no calls; when it is no longer covered, it starts with a full read.
+func TestCoveredWatchMakesNoCalls(t *testing.T) {
 	f := &faulty{Memory: store.NewMemory()}
 	put(t, f, "p/a", "1")
 	v := &view{}
@@ -245,14 +245,14 @@
 	eventually(t, func() bool { return v.get("p/a") == "1" })
 }
 
-func TestSharedWatch(t *testing.T) {
+func TestSharedWatchWaitsWhileStateIsFresh(t *testing.T) {
 	f := &faulty{Memory: store.NewMemory()}
 	put(t, f, "p/a", "1")
 	v := &view{}
-	var told atomic.Int64
-	told.Store(time.Now().UnixNano())
+	var confirmedAt atomic.Int64
+	confirmedAt.Store(time.Now().UnixNano())
 	w := Watch{
-		Age:      func() time.Duration { return time.Duration(time.Now().UnixNano() - told.Load()) },
+		Age:      func() time.Duration { return time.Duration(time.Now().UnixNano() - confirmedAt.Load()) },
 		Consumer: v, Logger: slog.New(slog.DiscardHandler), Mark: func() sandbarrow.StoreRevision { return 1 },
 		Pace: 300 * time.Millisecond, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond,
 	}
@@ -262,10 +262,10 @@
 	eventually(t, func() bool { return v.get("p/a") == "1" })
 	for range 20 {
 		time.Sleep(30 * time.Millisecond)
-		told.Store(time.Now().UnixNano())
+		confirmedAt.Store(time.Now().UnixNano())
 	}
 	f.mu.Lock()
-	assert.Equal(t, f.calls, 1, "the first read alone")
+	assert.Equal(t, f.calls, 1, "only the first read")
 	f.mu.Unlock()
 	put(t, f, "p/b", "2")
 	eventually(t, func() bool { return v.get("p/b") == "2" })
