--- a/agent/ends.go
+++ b/agent/ends.go
@@ -54,7 +54,7 @@
 	if a.ended.count > 0 && run.began.Before(a.ended.at) {
 		start := a.ended.start
 		a.mu.Unlock()
-		a.crashes.Note(start, run.at, run.print) // it broke with that end
+		a.crashes.AddCrash(start, run.at, run.print) // it broke with that end
 		return
 	}
 	a.broken = append(a.broken, run)
@@ -92,7 +92,7 @@
 	a.ended.at = now
 	a.ended.start = sandbarrow.InstanceID(string(a.settings.Agent.Upstream.ID) + " " + string(a.incarnation) + " " + strconv.Itoa(a.ended.count))
 	a.logger.Warn("upstream ended under requests", "requests", len(prints), "ends", a.ended.count)
-	a.crashes.Note(a.ended.start, now, prints...)
+	a.crashes.AddCrash(a.ended.start, now, prints...)
 }
 
 // refusesConnections reports whether nothing listens at a URL's address. No answer says
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -28,7 +28,7 @@
 	run := func(f crash.Fingerprint) *attempt {
 		return &attempt{ctx: context.Background(), req: wire.AttemptRequest{Fingerprint: &f}, startedAt: boottime.Now()}
 	}
-	ends := func(f crash.Fingerprint) int { return a.crashes.Judge(f, 100).Ends }
+	ends := func(f crash.Fingerprint) int { return a.crashes.Decide(f, 100).Crashes }
 	a.noteBroken(t.Context(), run(fatal))
 	assert.Equal(t, ends(fatal), 0, "it still listens")
 	assert.NilError(t, listener.Close())
@@ -45,8 +45,8 @@
 		a.noteBroken(t.Context(), run(fatal))
 		assert.Equal(t, ends(fatal), 2+n)
 	}
-	assert.Assert(t, a.crashes.Judge(fatal, 100).Refused)
-	assert.Assert(t, !a.crashes.Judge(beside, 100).Refused)
+	assert.Assert(t, a.crashes.Decide(fatal, 100).Refused)
+	assert.Assert(t, !a.crashes.Decide(beside, 100).Refused)
 	cancelled := run(beside)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/config/view.go
+++ b/config/view.go
@@ -115,9 +115,9 @@
 		Adapter:  a.ID,
 		Caller:   c.ID,
 		Class:    c.Class,
-		ClassPri: class.Priority,
+		ClassPriority: class.Priority,
 		Latest:   a.Versions[len(a.Versions)-1].ID,
-		Marked:   marked,
+		MarkedAtMostOnce:   marked,
 		Percent:  int(xxhash.Sum64String(string(c.ID)+"\x00"+string(a.ID)) % rolloutBuckets),
 	}
 	p, ok := v.policies[a.Policy]
--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -76,7 +76,7 @@
 		return enginelink.Grant{Refused: enginelink.RefuseNoModel}, true
 	case c.now().Before(c.backoffUntil) && c.slots.needsOrder(sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, q.Version):
 		return enginelink.Grant{Refused: enginelink.RefuseBackoff}, true
-	case q.Instance != "" && c.instance != "" && !q.Instance.Is(c.instance):
+	case q.Instance != "" && c.instance != "" && !q.Instance.Matches(c.instance):
 		// The engine itself would refuse the request, after a load for nothing, and the
 		// gateway's next attempt would take a retry from its budget.
 		return enginelink.Grant{Refused: enginelink.RefuseInstance}, true
--- a/controller/acquirecall_test.go
+++ b/controller/acquirecall_test.go
@@ -94,7 +94,7 @@
 	c := newTestController(t, f)
 	step(t, c)
 	rpc := linkTo(t.Context(), c, nil)
-	s := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
+	s := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	var read enginelink.Grant
 	ask := enginelink.Acquire{Adapter: "a", ID: "read", Model: testModel, Stretches: s, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &read))
@@ -125,7 +125,7 @@
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	assert.Equal(t, c.slots.kept.Kept(read.Weights(), s), 0)
+	assert.Equal(t, c.slots.kept.CachedTokens(read.Weights(), s), 0)
 }
 
 func TestRestartWithoutOrdersIsSeen(t *testing.T) {
@@ -134,7 +134,7 @@
 	c := newTestController(t, f)
 	step(t, c)
 	c.mu.Lock()
-	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, stretches: promptcache.Stretches(key(""), "ab:3000,ef:100"), tokens: 3100}
+	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, stretches: promptcache.PromptPrefixes(key(""), "ab:3000,ef:100"), tokens: 3100}
 	c.slots.acquire(c.now(), &enginelink.Acquire{UsefulMS: 1000}, p)
 	c.mu.Unlock()
 	assert.Assert(t, p.granted)
@@ -143,5 +143,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.slots.begun(c.now(), p)
-	assert.Equal(t, c.slots.kept.Kept(p.weights, p.stretches), 0, "the prompt was read by the start before")
+	assert.Equal(t, c.slots.kept.CachedTokens(p.weights, p.stretches), 0, "the prompt was read by the start before")
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -34,7 +34,7 @@
 func (testDocuments) Table([]byte) (*route.Table, error) {
 	return route.NewTable(1, nil, []route.Service{{
 		ID: testService, HealthPath: "/health",
-		Engine: &route.Engine{AdapterSlots: testSlots, MemoryTokens: 100_000, Models: []route.Model{{ID: testModel}}},
+		Engine: &route.Engine{AdapterSlots: testSlots, KVCacheTokens: 100_000, Models: []route.Model{{ID: testModel}}},
 	}}, route.Limits{})
 }
 func (testDocuments) Version(it sandbarrow.KeyItem) (sandbarrow.AdapterKey, sandbarrow.AdapterVersion, error) {
--- a/controller/kept_test.go
+++ b/controller/kept_test.go
@@ -34,10 +34,10 @@
 	v.mirror.Apply(k.Changes, k.All)
 }
 
-func (v *keptView) kept(w sandbarrow.WeightsVersion, s []promptcache.Stretch) int {
+func (v *keptView) kept(w sandbarrow.WeightsVersion, s []promptcache.PromptPrefix) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.mirror.Kept(w, s)
+	return v.mirror.CachedTokens(w, s)
 }
 
 func TestKeptPartsAreReported(t *testing.T) {
@@ -50,8 +50,8 @@
 	go func() { _ = c.publishLoop(t.Context()) }()
 	var first, later keptView
 	rpc := linkTo(t.Context(), c, first.follow)
-	s := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
-	other := promptcache.Stretches(key("a"), "ab:3000,cd:500,09:100")
+	s := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
+	other := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,09:100")
 	var g enginelink.Grant
 	ask := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Stretches: s, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
@@ -92,11 +92,11 @@
 	c := newTestController(t, f)
 	step(t, c)
 	rpc := linkTo(t.Context(), c, nil)
-	s := promptcache.Stretches(key("a"), "ab:3000,cd:500,ef:100")
+	s := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	kept := func(adapter sandbarrow.AdapterVersion, model sandbarrow.ModelVersion) int {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.slots.kept.Kept(sandbarrow.WeightsVersion{Adapter: adapter, Model: model}, s)
+		return c.slots.kept.CachedTokens(sandbarrow.WeightsVersion{Adapter: adapter, Model: model}, s)
 	}
 	read := func(id sandbarrow.RequestID) enginelink.Grant {
 		var g enginelink.Grant
--- a/controller/slots.go
+++ b/controller/slots.go
@@ -158,7 +158,7 @@
 
 // unreadOf is the part of a prompt that the engine does not keep.
 func (s *slots) unreadOf(p *pin) int {
-	return max(0, p.tokens-s.kept.Kept(p.weights, p.stretches))
+	return max(0, p.tokens-s.kept.CachedTokens(p.weights, p.stretches))
 }
 
 // done ends the pin of a request that has ended.
--- a/crash/judge.go
+++ b/crash/judge.go
@@ -73,13 +73,13 @@
 	return len(a) - len(without(a, b))
 }
 
-// Verdict is what is known of a request.
-type Verdict struct {
-	// Ends counts the ends of upstreams under it that are not cleared, Needed is at how many
+// Decision is what is known of a request.
+type Decision struct {
+	// Crashes counts the ends of upstreams under it that are not cleared, Needed is at how many
 	// it is refused at the earliest.
-	Ends, Needed int
+	Crashes, Needed int
 	// Refused says that it is not to be sent to any upstream.
 	Refused bool
-	// ForgottenIn is how long that is remembered without another end.
-	ForgottenIn time.Duration
+	// ExpiresIn is how long that is remembered without another end.
+	ExpiresIn time.Duration
 }
--- a/crash/log.go
+++ b/crash/log.go
@@ -99,8 +99,8 @@
 	return &Log{changed: make(chan struct{}), entries: map[Fingerprint]*entry{}, now: now}
 }
 
-// Attempted counts an attempt that has ended, however it did.
-func (l *Log) Attempted() {
+// CountAttempt counts an attempt that has ended, however it did.
+func (l *Log) CountAttempt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts.Add(l.now(), shareHalfLife)
@@ -141,19 +141,19 @@
 	return len(l.entries) == 0
 }
 
-// Judge decides whether a request may be sent to upstreams, of which there are so many.
-func (l *Log) Judge(f Fingerprint, upstreams int) Verdict {
+// Decide decides whether a request may be sent to upstreams, of which there are so many.
+func (l *Log) Decide(f Fingerprint, upstreams int) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	l.forget(now)
-	v := Verdict{Needed: leastEnds}
+	v := Decision{Needed: leastEnds}
 	e := l.entries[f]
 	if e == nil {
 		return v
 	}
 	own := e.open()
-	v.Ends, v.ForgottenIn = len(own), e.last().Add(keepFor).Sub(now)
+	v.Crashes, v.ExpiresIn = len(own), e.last().Add(keepFor).Sub(now)
 	if len(own) >= leastEnds {
 		v.Needed = endsNeeded(max(l.shareWithout(e, now), l.fleetShareWithout(own, upstreams)))
 		v.Refused = endsUpstreams(own, l.rivals(f, own), v.Needed)
@@ -211,8 +211,8 @@
 	return float64(len(beside)) / float64(max(1, upstreams)*len(own))
 }
 
-// Knows reports whether anything is remembered of a request.
-func (l *Log) Knows(f Fingerprint) bool {
+// Contains reports whether anything is remembered of a request.
+func (l *Log) Contains(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[f] != nil
@@ -238,9 +238,9 @@
 	return current
 }
 
-// Note notes that an upstream has ended under requests of this process, all that ran or
+// AddCrash notes that an upstream has ended under requests of this process, all that ran or
 // waited there.
-func (l *Log) Note(upstream sandbarrow.InstanceID, at time.Time, prints ...Fingerprint) {
+func (l *Log) AddCrash(upstream sandbarrow.InstanceID, at time.Time, prints ...Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -260,9 +260,9 @@
 	return l.since(sequence, func(e *entry) bool { return e.source == nil || e.source != except })
 }
 
-// Noted is Since for what this process has noted or cleared itself, with what others have
+// LocalSince is Since for what this process has noted or cleared itself, with what others have
 // told of the same requests.
-func (l *Log) Noted(sequence uint64) ([]Record, uint64) {
+func (l *Log) LocalSince(sequence uint64) ([]Record, uint64) {
 	return l.since(sequence, func(e *entry) bool { return e.noted })
 }
 
--- a/crash/log_test.go
+++ b/crash/log_test.go
@@ -26,7 +26,7 @@
 func ends(l *Log, c *clock, f Fingerprint, upstreams ...string) {
 	for _, u := range upstreams {
 		c.at = c.at.Add(time.Second)
-		l.Note(sandbarrow.InstanceID(u), c.at, f)
+		l.AddCrash(sandbarrow.InstanceID(u), c.at, f)
 	}
 }
 
@@ -49,17 +49,17 @@
 	f := printOf("f")
 	assert.Assert(t, l.Empty())
 	ends(l, c, f, "u1", "u2", "u2")
-	assert.Equal(t, l.Judge(f, 100).Ends, 2, "the same end counts once")
-	assert.Assert(t, !l.Judge(f, 100).Refused)
+	assert.Equal(t, l.Decide(f, 100).Crashes, 2, "the same end counts once")
+	assert.Assert(t, !l.Decide(f, 100).Refused)
 	ends(l, c, f, "u3")
-	v := l.Judge(f, 100)
+	v := l.Decide(f, 100)
 	assert.Assert(t, v.Refused)
-	assert.Equal(t, v.ForgottenIn, keepFor)
-	assert.Assert(t, !l.Judge(printOf("other"), 100).Refused)
+	assert.Equal(t, v.ExpiresIn, keepFor)
+	assert.Assert(t, !l.Decide(printOf("other"), 100).Refused)
 	l.Clear(f)
-	assert.Equal(t, l.Judge(f, 100).Ends, 0)
+	assert.Equal(t, l.Decide(f, 100).Crashes, 0)
 	ends(l, c, f, "u3", "u4")
-	assert.Equal(t, l.Judge(f, 100).Ends, 1, "what is cleared stays so")
+	assert.Equal(t, l.Decide(f, 100).Crashes, 1, "what is cleared stays so")
 }
 
 // What only ran beside a fatal request is not refused, however often.
@@ -68,15 +68,15 @@
 	l := NewLog(c.now)
 	fatal, beside := printOf("fatal"), printOf("beside")
 	for i := range 4 {
-		l.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), c.at, fatal, beside)
+		l.AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", i)), c.at, fatal, beside)
 	}
-	assert.Assert(t, !l.Judge(beside, 100).Refused)
-	assert.Assert(t, !l.Judge(fatal, 100).Refused, "they can't be told apart")
+	assert.Assert(t, !l.Decide(beside, 100).Refused)
+	assert.Assert(t, !l.Decide(fatal, 100).Refused, "they can't be told apart")
 	ends(l, c, fatal, "v1", "v2")
-	assert.Assert(t, l.Judge(fatal, 100).Refused)
-	assert.Assert(t, !l.Judge(beside, 100).Refused)
+	assert.Assert(t, l.Decide(fatal, 100).Refused)
+	assert.Assert(t, !l.Decide(beside, 100).Refused)
 	ends(l, c, beside, "w1")
-	assert.Assert(t, !l.Judge(beside, 100).Refused, "one end by itself is common")
+	assert.Assert(t, !l.Decide(beside, 100).Refused, "one end by itself is common")
 }
 
 // In a storm of crashes more ends are needed.
@@ -110,7 +110,7 @@
 			case 1:
 				tell(i, (i+1+random.IntN(2))%len(logs))
 			default:
-				logs[i].Note(sandbarrow.InstanceID(fmt.Sprint("u", random.IntN(9))), c.at, f)
+				logs[i].AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", random.IntN(9))), c.at, f)
 			}
 		}
 		for range len(logs) {
@@ -121,9 +121,9 @@
 		}
 		for n := range 4 {
 			f := printOf(fmt.Sprint(n))
-			want := logs[0].Judge(f, 100)
+			want := logs[0].Decide(f, 100)
 			for i := range logs {
-				assert.Equal(t, logs[i].Judge(f, 100).Ends, want.Ends, "seed %d, log %d", seed, i)
+				assert.Equal(t, logs[i].Decide(f, 100).Crashes, want.Crashes, "seed %d, log %d", seed, i)
 			}
 		}
 		for i := range logs { // and then have nothing more to tell
@@ -140,15 +140,15 @@
 	fatal := printOf("fatal")
 	ends(l, c, fatal, "u1", "u2", "u3")
 	for i := range 3 * mostEntries {
-		l.Note(sandbarrow.InstanceID(fmt.Sprint("v", i)), c.at, printOf(fmt.Sprint(i)))
+		l.AddCrash(sandbarrow.InstanceID(fmt.Sprint("v", i)), c.at, printOf(fmt.Sprint(i)))
 	}
 	records, _ := l.Since(0, nil)
 	assert.Equal(t, len(records), mostEntries)
-	assert.Equal(t, l.Judge(fatal, 100).Ends, 3)
+	assert.Equal(t, l.Decide(fatal, 100).Crashes, 3)
 	for i := range 3 * mostCrashes {
 		ends(l, c, fatal, fmt.Sprint("w", i))
 	}
-	assert.Equal(t, l.Judge(fatal, 100).Ends, mostCrashes)
+	assert.Equal(t, l.Decide(fatal, 100).Crashes, mostCrashes)
 	text, err := json.Marshal(records)
 	assert.NilError(t, err)
 	assert.Assert(t, len(text) < 150*mostEntries, "%d bytes", len(text))
@@ -162,9 +162,9 @@
 	ends(l, c, f, "u1", "u2", "u3")
 	records, _ := l.Since(0, nil)
 	c.at = c.at.Add(keepFor - time.Second)
-	assert.Assert(t, l.Judge(f, 100).Refused)
+	assert.Assert(t, l.Decide(f, 100).Refused)
 	c.at = c.at.Add(2 * time.Second)
-	assert.Assert(t, !l.Judge(f, 100).Refused)
+	assert.Assert(t, !l.Decide(f, 100).Refused)
 	assert.Assert(t, l.Empty())
 	assert.Assert(t, !l.Merge(nil, []Record{records[0].Aged((keepFor + time.Second).Milliseconds())}))
 	assert.Assert(t, !l.Merge(nil, []Record{{Fingerprint: f, Crashes: []RecordedCrash{{AgeMS: -5, Upstream: "u"}, {AgeMS: 5}}}}), "malformed")
--- a/crash/record.go
+++ b/crash/record.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// Open counts the ends that are not cleared.
-func (r *Record) Open() int {
+// Uncleared counts the ends that are not cleared.
+func (r *Record) Uncleared() int {
 	n := 0
 	for i := range r.Crashes {
 		if !r.Crashes[i].Cleared {
--- a/crash/storm_test.go
+++ b/crash/storm_test.go
@@ -116,7 +116,7 @@
 func (s *storm) send(r *stormRun, longest time.Duration) {
 	r.tries++
 	r.gateway = s.gateways[s.rand.IntN(len(s.gateways))]
-	if !r.gateway.Empty() && r.gateway.Judge(r.print, len(s.upstreams)).Refused {
+	if !r.gateway.Empty() && r.gateway.Decide(r.print, len(s.upstreams)).Refused {
 		if r.fatal < 0 {
 			s.innocentsRefused++
 			for _, c := range r.gateway.entries[r.print].open() {
@@ -173,7 +173,7 @@
 			continue
 		}
 		s.running = append(s.running[:due], s.running[due+1:]...)
-		r.gateway.Attempted()
+		r.gateway.CountAttempt()
 		r.gateway.Clear(r.print)
 		s.innocentsServed++
 	}
@@ -193,7 +193,7 @@
 			continue
 		}
 		broken[r.gateway] = append(broken[r.gateway], r.print)
-		r.gateway.Attempted()
+		r.gateway.CountAttempt()
 		if r.fatal < 0 {
 			s.met++
 		}
@@ -204,7 +204,7 @@
 	s.running = kept
 	for _, g := range s.gateways { // in a fixed order
 		if len(broken[g]) > 0 {
-			g.Note(id, s.now, broken[g]...)
+			g.AddCrash(id, s.now, broken[g]...)
 		}
 	}
 	s.share()
--- a/directory/anyorder_test.go
+++ b/directory/anyorder_test.go
@@ -42,7 +42,7 @@
 func (h history) entry(key string, at sandbarrow.StoreRevision) (sandbarrow.KeyItem, bool) {
 	for _, it := range slices.Backward(h[:at]) {
 		if it.Key == key {
-			return it, !it.Gone
+			return it, !it.Deleted
 		}
 	}
 	return sandbarrow.KeyItem{}, false
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -78,7 +78,7 @@
 	for id, l := range d.entries {
 		items = append(items, l.item)
 		if _, lapsed := d.lapsed[id]; lapsed {
-			items = append(items, sandbarrow.KeyItem{Key: l.item.Key, Gone: true, Revision: d.at})
+			items = append(items, sandbarrow.KeyItem{Key: l.item.Key, Deleted: true, Revision: d.at})
 		}
 	}
 	return items, d.at
@@ -134,7 +134,7 @@
 // in more than the heartbeat. The caller holds mu.
 func (d *Directory) apply(id sandbarrow.ListedID, it sandbarrow.KeyItem, instance sandbarrow.Instance) bool {
 	old, known := d.entries[id]
-	known = known && old.instance.ID.Is(instance.ID) // after a restart it is a new instance
+	known = known && old.instance.ID.Matches(instance.ID) // after a restart it is a new instance
 	if !known {
 		d.lastAdded = boottime.Now()
 	}
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -37,7 +37,7 @@
 }
 
 func deleted(key string, revision sandbarrow.StoreRevision) sandbarrow.KeyItem {
-	return sandbarrow.KeyItem{Key: key, Gone: true, Revision: revision}
+	return sandbarrow.KeyItem{Key: key, Deleted: true, Revision: revision}
 }
 
 func newDirectory() *Directory {
--- a/directory/merge.go
+++ b/directory/merge.go
@@ -81,7 +81,7 @@
 	if it.Revision <= m.known(id) {
 		return neededByPeers // a late page of an earlier full read may already have delivered it
 	}
-	if it.Gone {
+	if it.Deleted {
 		if !neededByPeers {
 			return false // it is still listed, which means that it was listed again later
 		}
--- a/directory/storerestore.go
+++ b/directory/storerestore.go
@@ -73,7 +73,7 @@
 	current, known := d.entries[id]
 	if !known {
 		exited, recorded := d.restore.exited[id]
-		return recorded && exited.instance.Is(instance.ID)
+		return recorded && exited.instance.Matches(instance.ID)
 	}
 	if current.item.Revision.Era() >= it.Revision.Era() {
 		return false
--- a/enginelink/messages.go
+++ b/enginelink/messages.go
@@ -231,8 +231,8 @@
 	Priority    int `json:"priority"`
 	// PromptPrefixes are the prefixes of the prompt. They serve to estimate how much of it the
 	// engine has cached.
-	Stretches []promptcache.Stretch `json:"stretches,omitempty"`
-	Tokens    int                   `json:"tokens"`
+	Stretches []promptcache.PromptPrefix `json:"stretches,omitempty"`
+	Tokens    int                        `json:"tokens"`
 	// SlackMS is within how many milliseconds a grant must arrive for the response to be in
 	// time. It may be negative.
 	UsefulMS int64 `json:"useful_ms"`
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -167,7 +167,7 @@
 	for _, it := range items {
 		known, exists := e.items[it.Key]
 		switch {
-		case it.Gone: // a removed key keeps its last meaning: nothing goes back
+		case it.Deleted: // a removed key keeps its last meaning: nothing goes back
 		case exists && !e.supersedes(it, known):
 			e.ignoreOlder(from, it, known)
 		default:
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -25,7 +25,7 @@
 	attempts
 	// crashVerdict is what was known of upstreams that ended under the request, when that was
 	// asked last.
-	crashVerdict crash.Verdict
+	crashVerdict crash.Decision
 	// blocked is what was seen of upstreams that accept no request now.
 	blocked blockedUpstreams
 	quota   quotaAsk
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -152,8 +152,8 @@
 	}
 	g := newChoosingGateway(b, statuses...)
 	c := callFor(g, "a", 9000)
-	c.service.Engine.MovePerToken = time.Microsecond
-	c.stretches = promptcache.Stretches(c.key, "1:1000,2:2000,3:2000,4:2000,5:2000")
+	c.service.Engine.MoveTimePerToken = time.Microsecond
+	c.stretches = promptcache.PromptPrefixes(c.key, "1:1000,2:2000,3:2000,4:2000,5:2000")
 	var memory promptcache.Memory
 	memory.SetCapacity(100_000)
 	memory.Use(c.key, sandbarrow.WeightsVersion{Adapter: 1, Model: 1}, c.stretches)
--- a/gateway/crashkeeper.go
+++ b/gateway/crashkeeper.go
@@ -76,7 +76,7 @@
 // Update learns what gateways have written.
 func (k *crashKeeper) Update(items []sandbarrow.KeyItem, _ sandbarrow.StoreRevision) {
 	for _, it := range items {
-		if it.Gone {
+		if it.Deleted {
 			continue // each Log forgets by itself
 		}
 		var r keptRecord
@@ -101,8 +101,8 @@
 	if k.gateway.engines.anyUp() {
 		least = keptFrom
 	}
-	records, next := k.gateway.crashes.Noted(k.sequence)
-	records = slices.DeleteFunc(records, func(r crash.Record) bool { return r.Open() < least && !k.kept[r.Fingerprint] })
+	records, next := k.gateway.crashes.LocalSince(k.sequence)
+	records = slices.DeleteFunc(records, func(r crash.Record) bool { return r.Uncleared() < least && !k.kept[r.Fingerprint] })
 	for some := range slices.Chunk(records, mostKeptAtOnce) {
 		if !k.write(ctx, some) {
 			return
@@ -147,7 +147,7 @@
 	k.outdated = nil
 	k.mu.Unlock()
 	for f := range k.kept {
-		if !k.gateway.crashes.Knows(f) {
+		if !k.gateway.crashes.Contains(f) {
 			remove = append(remove, k.key(f))
 			delete(k.kept, f)
 		}
--- a/gateway/crashsync_test.go
+++ b/gateway/crashsync_test.go
@@ -24,7 +24,7 @@
 // noteFatal notes so many ends of upstreams under one request at a gateway.
 func noteFatal(g *Gateway, ends int) {
 	for i := range ends {
-		g.crashes.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), fatalPrint)
+		g.crashes.AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), fatalPrint)
 	}
 }
 
@@ -58,14 +58,14 @@
 	eventually(t, func() bool { return len(first.engines.upLinks(boottime.Now())) == 3 })
 	noteFatal(first, 3)
 	began := time.Now()
-	eventually(t, func() bool { return f.gateway.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return f.gateway.crashes.Decide(fatalPrint, 100).Refused })
 	assert.Assert(t, time.Since(began) < time.Second)
 	stop()
 	peers, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	go func() { _ = f.gateway.ServePeers(t.Context(), peers) }()
 	later := f.addGateway(t.Context(), t, func(c *Config) { c.Store, c.Peers = downStore{}, []string{peers.Addr().String()} })
-	eventually(t, func() bool { return later.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return later.crashes.Decide(fatalPrint, 100).Refused })
 	told := false
 	for _, l := range later.engines.upLinks(boottime.Now()) {
 		records, _ := later.crashes.Since(0, l)
@@ -86,11 +86,11 @@
 	}
 	a, b := lone("a"), lone("b")
 	noteFatal(a, 2)
-	eventually(t, func() bool { return b.crashes.Judge(fatalPrint, 100).Ends == 2 })
-	b.crashes.Note("u9", boottime.Now(), fatalPrint)
-	eventually(t, func() bool { return a.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return b.crashes.Decide(fatalPrint, 100).Crashes == 2 })
+	b.crashes.AddCrash("u9", boottime.Now(), fatalPrint)
+	eventually(t, func() bool { return a.crashes.Decide(fatalPrint, 100).Refused })
 	c := lone("c")
-	eventually(t, func() bool { return c.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return c.crashes.Decide(fatalPrint, 100).Refused })
 
 	outdated := []byte(`{"fingerprint":"` + fatalPrint.String() + `","crashes":[{"upstream":"u1","age_ms":1}],"written":1000}`)
 	_, err := kept.Commit(t.Context(), sandbarrow.Transaction{Put: map[string][]byte{crashPrefix + "old/gone": outdated, crashPrefix + "odd": []byte("{")}})
@@ -135,9 +135,9 @@
 	noteFatal(known, 3)
 	other := newLoneGateway("127.0.0.1:1", peers.Addr().String())
 	go func() { _ = newCrashSync(other).run(t.Context()) }()
-	eventually(t, func() bool { return other.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return other.crashes.Decide(fatalPrint, 100).Refused })
 	other.crashes.Clear(fatalPrint)
-	eventually(t, func() bool { return !known.crashes.Judge(fatalPrint, 100).Refused })
+	eventually(t, func() bool { return !known.crashes.Decide(fatalPrint, 100).Refused })
 }
 
 func TestRefusesWhatEndsUpstreams(t *testing.T) {
@@ -147,7 +147,7 @@
 	c.request, _ = http.NewRequest(http.MethodPost, f.url+"/p/x", nil)
 	c.request.Host, c.request.RequestURI, c.body = testHost, "/p/x", []byte("body")
 	for i := range 3 {
-		f.gateway.crashes.Note(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), c.fingerprint())
+		f.gateway.crashes.AddCrash(sandbarrow.InstanceID(fmt.Sprint("u", i)), boottime.Now(), c.fingerprint())
 	}
 	got := f.send(t.Context(), http.MethodPost, "/p/x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
--- a/gateway/endsupstreams.go
+++ b/gateway/endsupstreams.go
@@ -33,7 +33,7 @@
 	if c.gateway.crashes.Empty() {
 		return false
 	}
-	c.crashVerdict = c.gateway.crashes.Judge(c.fingerprint(), len(c.gateway.directory.View().All()))
+	c.crashVerdict = c.gateway.crashes.Decide(c.fingerprint(), len(c.gateway.directory.View().All()))
 	return c.crashVerdict.Refused
 }
 
@@ -43,7 +43,7 @@
 	if !c.endsUpstreams() {
 		return true
 	}
-	c.refuseFor(http.StatusServiceUnavailable, reasonEndsUpstreams, jitter(max(retryAfter, c.crashVerdict.ForgottenIn)))
+	c.refuseFor(http.StatusServiceUnavailable, reasonEndsUpstreams, jitter(max(retryAfter, c.crashVerdict.ExpiresIn)))
 	return false
 }
 
@@ -62,10 +62,10 @@
 // holdSuspect waits a moment where upstreams have ended under the request one after the
 // other, before an upstream is chosen for it.
 func (c *call) holdSuspect(ctx context.Context) {
-	if c.endsUpstreams() || c.crashVerdict.Ends < suspectFrom {
+	if c.endsUpstreams() || c.crashVerdict.Crashes < suspectFrom {
 		return
 	}
-	wait := min(suspectWait<<(c.crashVerdict.Ends-suspectFrom), c.left()/suspectWaitParts)
+	wait := min(suspectWait<<(c.crashVerdict.Crashes-suspectFrom), c.left()/suspectWaitParts)
 	pause.For(ctx, rand.N(max(1, wait)))
 }
 
@@ -88,11 +88,11 @@
 // crashAttributes describe what is known of upstreams that ended under the request; none
 // where nothing is.
 func (c *call) crashAttributes() []slog.Attr {
-	if c.crashVerdict.Ends == 0 {
+	if c.crashVerdict.Crashes == 0 {
 		return nil
 	}
 	return []slog.Attr{
-		slog.String("fingerprint", c.fingerprint().String()), slog.Int("upstreams_ended", c.crashVerdict.Ends), slog.Int("ends_needed", c.crashVerdict.Needed),
-		slog.Int64("forgotten_s", int64(c.crashVerdict.ForgottenIn/time.Second)),
+		slog.String("fingerprint", c.fingerprint().String()), slog.Int("upstreams_ended", c.crashVerdict.Crashes), slog.Int("ends_needed", c.crashVerdict.Needed),
+		slog.Int64("forgotten_s", int64(c.crashVerdict.ExpiresIn/time.Second)),
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,7 +60,7 @@
 // Config is what a Gateway needs.
 type Config struct {
 	// Announcements reads what upstreams say of themselves in their answers.
-	Announcements sandbarrow.AnnouncementReader
+	Announcements sandbarrow.NoticeReader
 	// AcceptAfterStop is how long a stopping gateway accepts new connections.
 	AcceptAfterStop time.Duration
 	// ControllerPort is the port of the controller on an engine's box.
--- a/gateway/passanswer.go
+++ b/gateway/passanswer.go
@@ -106,7 +106,7 @@
 
 // pausedTooLong reports whether a pause between two events makes the answer late.
 func (c *call) pausedTooLong(pause time.Duration) bool {
-	return c.route.LongestPause > 0 && pause > c.route.LongestPause
+	return c.route.EventGapTarget > 0 && pause > c.route.EventGapTarget
 }
 
 // reportPause reports that the engine has paused the stream for too long, so that its
--- a/gateway/promptmove_test.go
+++ b/gateway/promptmove_test.go
@@ -159,7 +159,7 @@
 	t.Helper()
 	g := newChoosingGateway(t, statusWithWeights(oldWeights))
 	c := callFor(g, "a", 9000)
-	c.stretches = promptcache.Stretches(testKey, "5c:8000,01:1000")
+	c.stretches = promptcache.PromptPrefixes(testKey, "5c:8000,01:1000")
 	source := g.directory.View().Service(testEngines)[0]
 	link := g.engines.link(source.Address)
 	var memory promptcache.Memory
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -199,7 +199,7 @@
 	if result != resultAnswered {
 		c.logAttempt(e.instance.ID, result.String(), c.cause, e)
 	}
-	next, mayHaveRun, endReason := afterAttempt(result, c.committed, c.route.Repeatable())
+	next, mayHaveRun, endReason := afterAttempt(result, c.committed, c.route.Retryable())
 	if mayHaveRun {
 		c.ran++
 	}
@@ -241,7 +241,7 @@
 	go c.watchProgress(ctx, cancel, e, p)
 	c.gateway.upstreams.begin(e.instance.ID)
 	result := c.runEngine(ctx, e, version, p)
-	c.gateway.crashes.Attempted()
+	c.gateway.crashes.CountAttempt()
 	if result == resultBroken && !p.proven {
 		c.noteBroken(ctx, e.instance)
 	}
--- a/gateway/takequota.go
+++ b/gateway/takequota.go
@@ -67,7 +67,7 @@
 		case found.granted:
 			c.gateway.metrics.quotaAsked(c, "granted")
 			return true
-		case found.refused == quota.Parts && !found.young, found.refused > 0 && !found.young && c.quota.waited > c.route.Objective/2,
+		case found.refused == quota.LimitShares && !found.young, found.refused > 0 && !found.young && c.quota.waited > c.route.Objective/2,
 			found.refused > 0 && !time.Now().Before(until):
 			c.gateway.metrics.quotaAsked(c, "refused")
 			c.refuseFor(http.StatusTooManyRequests, reasonLimit, jitter(max(found.again, leastQuotaRetry)))
@@ -96,9 +96,9 @@
 func (c *call) askParts(ctx context.Context) partsAnswer {
 	var found partsAnswer
 	shards := quota.ShardsOf(c.workspace.ID)
-	first := rand.IntN(quota.Parts)
+	first := rand.IntN(quota.LimitShares)
 	for i := range shards {
-		taken, ok := c.askLeader(ctx, shards[(first+i)%quota.Parts])
+		taken, ok := c.askLeader(ctx, shards[(first+i)%quota.LimitShares])
 		switch {
 		case !ok:
 		case taken.Granted:
--- a/gateway/upstreamend.go
+++ b/gateway/upstreamend.go
@@ -174,7 +174,7 @@
 		prints[i] = b.print
 		u.logEnded(l, b)
 	}
-	u.gateway.crashes.Note(l.instance.ID, broken[0].at, prints...)
+	u.gateway.crashes.AddCrash(l.instance.ID, broken[0].at, prints...)
 }
 
 func (u *upstreamEnds) logEnded(l *endProbe, b brokenAttempt) {
--- a/gateway/upstreamend_test.go
+++ b/gateway/upstreamend_test.go
@@ -23,7 +23,7 @@
 	broke := func(i int) {
 		<-f.gateway.ends.broke(at(i), brokenAttempt{at: boottime.Now(), print: broken, request: "r"})
 	}
-	ends := func() int { return f.gateway.crashes.Judge(broken, 100).Ends }
+	ends := func() int { return f.gateway.crashes.Decide(broken, 100).Crashes }
 	broke(0)
 	assert.Equal(t, ends(), 0, "it still listens")
 	other := sandbarrow.Instance{Address: at(0).Address, ID: "another", Service: testPlain, Slots: 4}
--- a/prefixwatch/prefixwatch_test.go
+++ b/prefixwatch/prefixwatch_test.go
@@ -34,7 +34,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, it := range items {
-		if it.Gone {
+		if it.Deleted {
 			delete(v.items, it.Key)
 			continue
 		}
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -185,7 +185,7 @@
 		if !w.lowered.IsZero() && !from.Before(w.lowered.Add(usualLife)) {
 			limit = &modelLow
 		}
-		if most := modelBound.allowed(limit) / Parts; float64(n) > most {
+		if most := modelBound.allowed(limit) / LimitShares; float64(n) > most {
 			return fmt.Sprintf("%d used in the window up to %v, %v allowed", n, end.Sub(time.Unix(1000, 0)), most)
 		}
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -40,19 +40,19 @@
 // newest, so that one process of all asks the store for that.
 const ConfirmShard Shard = 0
 
-// Parts is into how many parts a limit is split, each with a leader of its own: where one
+// LimitShares is into how many parts a limit is split, each with a leader of its own: where one
 // is lost, the others go on. With one part a workspace has nothing for up to 2 s until
 // another process leads, which begins with nothing to grant.
-const Parts = 2
+const LimitShares = 2
 
 // ShardsOf returns the shards of a workspace's parts, which differ.
-func ShardsOf(id sandbarrow.WorkspaceID) [Parts]Shard {
+func ShardsOf(id sandbarrow.WorkspaceID) [LimitShares]Shard {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id)) // never fails
 	first := Shard(h.Sum32() % uint32(Shards))
-	var all [Parts]Shard
+	var all [LimitShares]Shard
 	for i := range all {
-		all[i] = (first + Shard(i)*(Shards/Parts)) % Shards
+		all[i] = (first + Shard(i)*(Shards/LimitShares)) % Shards
 	}
 	return all
 }
@@ -111,9 +111,9 @@
 // PlanFor decides how each part of a limit is granted. Rate is the operators' own, split, where the bound
 // leaves room for the life of grants; else that life is cut first, and then the rate.
 func PlanFor(b Bound, l *access.Limit) Plan {
-	most := b.allowed(l) * keptShare / Parts
+	most := b.allowed(l) * keptShare / LimitShares
 	least := max(most*depthShare, min(leastDepth, most/2))
-	p := Plan{Life: usualLife, Rate: l.PerSecond / Parts}
+	p := Plan{Life: usualLife, Rate: l.PerSecond / LimitShares}
 	room := func() float64 { return most - p.Rate*(b.Window+p.Life).Seconds() }
 	if room() < least {
 		p.Life = leastLife
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,11 +16,11 @@
 
 func TestPlanLeavesTheBoundItsRoom(t *testing.T) {
 	usual := PlanFor(testBound, &access.Limit{Burst: 100_000, PerSecond: 100_000})
-	assert.Equal(t, usual.Rate*Parts, 100_000.0)
+	assert.Equal(t, usual.Rate*LimitShares, 100_000.0)
 	assert.Equal(t, usual.Life, usualLife)
-	assert.Assert(t, usual.Depth*Parts > 40_000, "%v", usual.Depth)
+	assert.Assert(t, usual.Depth*LimitShares > 40_000, "%v", usual.Depth)
 	tight := PlanFor(Bound{Window: 8 * time.Second}, &access.Limit{PerSecond: 1000})
-	assert.Assert(t, tight.Rate*Parts < 1000 && tight.Rate*Parts > 800, "%v", tight.Rate)
+	assert.Assert(t, tight.Rate*LimitShares < 1000 && tight.Rate*LimitShares > 800, "%v", tight.Rate)
 	assert.Equal(t, tight.Life, leastLife)
 }
 
@@ -34,7 +34,7 @@
 		l := &access.Limit{Burst: rapid.Float64Range(0, 1e6).Draw(t, "burst"), PerSecond: rapid.Float64Range(0.1, 1e6).Draw(t, "rate")}
 		p := PlanFor(b, l)
 		used := p.Rate*(b.Window+p.Life).Seconds() + p.Depth
-		assert.Assert(t, used*Parts <= b.allowed(l)*(keptShare+1e-9), "%v of %v", used*Parts, b.allowed(l))
+		assert.Assert(t, used*LimitShares <= b.allowed(l)*(keptShare+1e-9), "%v of %v", used*LimitShares, b.allowed(l))
 		assert.Assert(t, p.Rate > 0 && p.Depth > 0 && p.Life > 0)
 	})
 }
@@ -63,7 +63,7 @@
 		now := at(i * 10)
 		g.Ask(now, "hot", l, 5000)
 		if i%20 == 0 {
-			assert.Assert(t, g.Ask(now, "calm", l, 2000/Parts).Granted, "at %d", i)
+			assert.Assert(t, g.Ask(now, "calm", l, 2000/LimitShares).Granted, "at %d", i)
 		}
 	}
 }
@@ -93,6 +93,6 @@
 			used += 1000
 		}
 	}
-	assert.Assert(t, float64(used)*Parts <= testBound.allowed(low), "%d", used)
-	assert.Assert(t, used*Parts > 40_000, "%d", used)
+	assert.Assert(t, float64(used)*LimitShares <= testBound.allowed(low), "%d", used)
+	assert.Assert(t, used*LimitShares > 40_000, "%d", used)
 }
