--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -21,7 +21,7 @@
 // enginelink.LoadPatience longer.
 func (l *link) acquire(q *enginelink.Acquire, a *acquireCall) enginelink.Grant {
 	c := l.controller
-	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, promptPrefixes: q.Stretches, tokens: q.Tokens}
+	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, promptPrefixes: q.PromptPrefixes, tokens: q.Tokens}
 	w, refusal := l.enqueue(q, p, a)
 	if w == nil {
 		c.metrics.refused(refusal.Refused)
@@ -31,7 +31,7 @@
 		return l.acceptGrant(q, p, g, a)
 	}
 	if l.isLoadingOrPinned(p) {
-		if g, ok := l.waitForGrant(w, enginelink.LoadPatience); ok {
+		if g, ok := l.waitForGrant(w, enginelink.ExtraLoadWait); ok {
 			return l.acceptGrant(q, p, g, a)
 		}
 	}
@@ -45,7 +45,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.canceled {
-		return nil, enginelink.Grant{Refused: enginelink.RefuseLeft}
+		return nil, enginelink.Grant{Refused: enginelink.RefuseCanceled}
 	}
 	if refusal, refused := c.refuseAtOnce(q); refused {
 		delete(l.calls, q.ID)
@@ -83,8 +83,8 @@
 		// attempt would use up a retry from its budget.
 		return enginelink.Grant{Refused: enginelink.RefuseInstance}, true
 	}
-	if q.MostWaiting > 0 {
-		if waiting := c.slots.waiting(); waiting.Ahead(q.Priority) > q.MostWaiting {
+	if q.MaxWaitingTokens > 0 {
+		if waiting := c.slots.waiting(); waiting.Ahead(q.Priority) > q.MaxWaitingTokens {
 			return enginelink.Grant{Refused: enginelink.RefuseBusy, Waiting: waiting.Total(), WaitingByPriority: &waiting}, true
 		}
 	}
@@ -132,7 +132,7 @@
 	delete(l.calls, q.ID)
 	if a.canceled {
 		c.slots.unpin(c.now(), p)
-		g.Refused = enginelink.RefuseLeft
+		g.Refused = enginelink.RefuseCanceled
 	}
 	if g.Refused != "" {
 		c.metrics.refused(g.Refused)
@@ -162,8 +162,8 @@
 	default:
 	}
 	c.slots.cancel(c.now(), w)
-	c.metrics.refused(enginelink.RefuseSlots)
-	return enginelink.Grant{Refused: enginelink.RefuseSlots}
+	c.metrics.refused(enginelink.RefuseNoSlot)
+	return enginelink.Grant{Refused: enginelink.RefuseNoSlot}
 }
 
 // addPin adds a granted pin to its link, or releases it if the link has closed in the
@@ -207,7 +207,7 @@
 		p = c.detachedPins[id]
 	}
 	switch {
-	case p == nil && method == enginelink.MethodDone && l.calls[id] != nil:
+	case p == nil && method == enginelink.MethodUnpin && l.calls[id] != nil:
 		c.cancelAcquire(l.calls[id])
 		delete(l.calls, id)
 		return
@@ -218,9 +218,9 @@
 			c.logger.Info("read window closed", "request", string(id), "tokens", size)
 		}
 		return
-	case method == enginelink.MethodBegun:
+	case method == enginelink.MethodResponseStarted:
 		c.slots.responseStarted(now, p)
-	case method == enginelink.MethodDone:
+	case method == enginelink.MethodUnpin:
 		delete(l.pins, id)
 		if o := c.detachedPins[id]; o != nil && o != p {
 			c.slots.unpin(now, o) // from an older link that closed here after this one opened
--- a/controller/acquirecall.go
+++ b/controller/acquirecall.go
@@ -22,7 +22,7 @@
 	}
 	c.slots.cancel(c.now(), a.request)
 	select {
-	case a.request.grant <- enginelink.Grant{Refused: enginelink.RefuseLeft}:
+	case a.request.grant <- enginelink.Grant{Refused: enginelink.RefuseCanceled}:
 	default: // already granted; the receiver of the grant checks canceled
 	}
 	c.published.markChanged()
--- a/controller/cachedprefixes_test.go
+++ b/controller/cachedprefixes_test.go
@@ -22,16 +22,16 @@
 }
 
 func (v *cacheView) apply(r *jsonrpc2.Request) {
-	if r.Method != enginelink.MethodKept {
+	if r.Method != enginelink.MethodCachedPrompts {
 		return
 	}
-	var k enginelink.Kept
+	var k enginelink.CachedPrompts
 	if json.Unmarshal(*r.Params, &k) != nil {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.mirror.Apply(k.Changes, k.All)
+	v.mirror.Apply(k.Changes, k.Complete)
 }
 
 func (v *cacheView) cachedTokens(w sandbarrow.WeightsVersion, s []promptcache.PromptPrefix) int {
@@ -53,15 +53,15 @@
 	prefixes := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	other := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,09:100")
 	var g enginelink.Grant
-	request := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Stretches: prefixes, Tokens: 3600, WaitMS: 100}
+	request := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, PromptPrefixes: prefixes, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, request, &g))
 	assert.Equal(t, first.cachedTokens(weights, other), 0, "the prompt has not been prefilled")
-	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodBegun, enginelink.Pin{ID: "1"}))
+	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodResponseStarted, enginelink.Pin{ID: "1"}))
 	eventually(t, func() bool { return first.cachedTokens(weights, other) == 3500 })
 	openLink(t.Context(), c, later.apply)
 	eventually(t, func() bool { return later.cachedTokens(weights, other) == 3500 })
 
-	request.ID, request.Stretches = "2", other
+	request.ID, request.PromptPrefixes = "2", other
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, request, &g))
 	c.mu.Lock()
 	waiting := c.slots.waiting()
@@ -100,10 +100,10 @@
 	}
 	prefill := func(id sandbarrow.RequestID) enginelink.Grant {
 		var g enginelink.Grant
-		request := enginelink.Acquire{Adapter: "a", ID: id, Model: testModel, Stretches: prefixes, Tokens: 3600, Version: 1, WaitMS: 100}
+		request := enginelink.Acquire{Adapter: "a", ID: id, Model: testModel, PromptPrefixes: prefixes, Tokens: 3600, Version: 1, WaitMS: 100}
 		assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, request, &g))
-		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodBegun, enginelink.Pin{ID: id}))
-		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: id}))
+		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodResponseStarted, enginelink.Pin{ID: id}))
+		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodUnpin, enginelink.Pin{ID: id}))
 		eventually(t, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -75,7 +75,7 @@
 	// leader is nil if this process leads no quota shards.
 	leader *leader.Leader
 	// limits grants sends to upstreams with named limits, of any service.
-	limits  *enginelink.SendKeeper
+	limits  *enginelink.SendCoordinator
 	logger  *slog.Logger
 	metrics *metrics
 	now     func() time.Time
@@ -110,7 +110,7 @@
 func New(c Config) *Controller {
 	e := estate.New(c.Documents, c.Logger)
 	k := &Controller{
-		box: c.Box, control: c.Control, crashes: crash.NewLog(boottime.Now), engine: c.Engine, estate: e, limits: enginelink.NewSendKeeper(1), links: map[*link]bool{}, detachedPins: map[sandbarrow.RequestID]*pin{}, logger: c.Logger,
+		box: c.Box, control: c.Control, crashes: crash.NewLog(boottime.Now), engine: c.Engine, estate: e, limits: enginelink.NewSendCoordinator(1), links: map[*link]bool{}, detachedPins: map[sandbarrow.RequestID]*pin{}, logger: c.Logger,
 		metrics: newMetrics(c.Metrics), now: boottime.Now, published: newPublisher(), service: c.Service, slots: newSlots(evict.NewCost()), store: c.Store,
 		wake: make(chan struct{}, 1),
 		watch: prefixwatch.Watch{
@@ -130,7 +130,7 @@
 
 // shardsLed returns the number of quota shards that this process leads.
 func (c *Controller) shardsLed() float64 {
-	leads, _ := c.leader.Leads()
+	leads, _ := c.leader.LedShards()
 	return float64(len(leads.Terms))
 }
 
@@ -148,7 +148,7 @@
 	if c.watchedByGateways() {
 		return 0
 	}
-	return enginelink.WatchLead
+	return enginelink.StoreWatchGrace
 }
 
 // observeLoad records a load and its duration.
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -122,7 +122,7 @@
 	f.restart()
 	step(t, c) // detects the restart and loads the base model: sequence 1 again
 	c.mu.Lock()
-	c.slots.refuseAll(c.now(), enginelink.RefuseSlots)
+	c.slots.refuseAll(c.now(), enginelink.RefuseNoSlot)
 	c.mu.Unlock()
 	f.carryOutLateOrders()
 	assert.Equal(t, len(f.loaded), 0, "a late order from before the restart was carried out")
@@ -208,7 +208,7 @@
 	s.capacity = 1
 	now := time.Now()
 	add := func(adapter string, priority int, usefulMS int64) {
-		s.acquire(now, &enginelink.Acquire{Priority: priority, UsefulMS: usefulMS}, &pin{key: key(adapter)})
+		s.acquire(now, &enginelink.Acquire{Priority: priority, SlackMS: usefulMS}, &pin{key: key(adapter)})
 	}
 	add("late", 0, -1)
 	add("low", 2, 500)
@@ -245,7 +245,7 @@
 	}
 	_, present := f.loaded[key("new")]
 	assert.Assert(t, present)
-	l.applyProgress("0", enginelink.MethodDone)
+	l.applyProgress("0", enginelink.MethodUnpin)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	assert.Equal(t, c.slots.pins[key("old0")], 0)
--- a/controller/detachedpin_test.go
+++ b/controller/detachedpin_test.go
@@ -59,7 +59,7 @@
 	eventually(t, func() bool { return c.linkCount() == 0 })
 	assert.Equal(t, c.pinsOn("a"), 1, "the request may still be running")
 	second := openLink(t.Context(), c, nil)
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, request))
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodPinned, request))
 	time.Sleep(detachedPinGrace + 100*time.Millisecond)
 	assert.Equal(t, c.pinsOn("a"), 1, "its gateway has linked again")
 	assert.NilError(t, second.Close())
@@ -112,11 +112,11 @@
 	var g enginelink.Grant
 	assert.NilError(t, first.Call(t.Context(), enginelink.MethodAcquire, request, &g))
 	second := openLink(t.Context(), c, nil) // the gateway has dropped the first link, which is still open here
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, request))
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodPinned, request))
 	eventually(t, func() bool { return c.pinsOn("a") == 2 })
 	assert.NilError(t, first.Close())
 	eventually(t, func() bool { return c.linkCount() == 1 })
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: "1"}))
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUnpin, enginelink.Pin{ID: "1"}))
 	time.Sleep(detachedPinGrace + 200*time.Millisecond)
 	assert.Equal(t, c.pinsOn("a"), 0, "the request is done")
 }
--- a/controller/publisher.go
+++ b/controller/publisher.go
@@ -54,7 +54,7 @@
 // apply replaces the status and reports whether the links must send it. They must if it
 // differs from the last one or a heartbeat is due.
 func (p *publisher) apply(now time.Time, s enginelink.Status) bool {
-	if p.contentVersion > 0 && now.Sub(p.publishedAt) < enginelink.Heartbeat-publishPause && reflect.DeepEqual(s, p.last) {
+	if p.contentVersion > 0 && now.Sub(p.publishedAt) < enginelink.HeartbeatInterval-publishPause && reflect.DeepEqual(s, p.last) {
 		return false
 	}
 	if p.contentVersion == 0 || !slices.Equal(s.Slots, p.last.Slots) || !s.SameModels(&p.last) || s.Speed != p.last.Speed || s.Loads != p.last.Loads {
@@ -109,7 +109,7 @@
 // gateways. It never exceeds the heartbeat interval. Without that bound, the interval for
 // 300 gateways would be as long as the timeout after which a link counts as lost.
 func publishInterval(gateways int) time.Duration {
-	return min(enginelink.Heartbeat, max(publishPause, time.Duration(gateways)*publishPerGateway))
+	return min(enginelink.HeartbeatInterval, max(publishPause, time.Duration(gateways)*publishPerGateway))
 }
 
 // publishLoop publishes the status when it may have changed and at each heartbeat, which
@@ -119,7 +119,7 @@
 		pause.For(ctx, c.publishNow())
 		select {
 		case <-c.published.changed:
-		case <-time.After(enginelink.Heartbeat - publishPause):
+		case <-time.After(enginelink.HeartbeatInterval - publishPause):
 		case <-ctx.Done():
 		}
 	}
--- a/controller/unreportedpins.go
+++ b/controller/unreportedpins.go
@@ -20,7 +20,7 @@
 // pinned adapters without it. The last status may have been a heartbeat interval old when
 // the suspension began. A report from an engine that does not respond can take as long;
 // this only delays unloads by relinkTime.
-const frozenAfter = enginelink.HeartbeatTimeout - enginelink.Heartbeat
+const frozenAfter = enginelink.HeartbeatTimeout - enginelink.HeartbeatInterval
 
 // unreportedPins decides whether gateways may have pins that this controller does not know.
 // While the controller has no links, also before the first one after its start, gateways
--- a/directory/anyorder_test.go
+++ b/directory/anyorder_test.go
@@ -124,7 +124,7 @@
 // peerChange delivers any change that was ever in flight. It may arrive repeatedly.
 func (n *network) peerChange(t *rapid.T, g *gatewayList) {
 	if len(n.changes) > 0 {
-		g.Learn(rapid.SampledFrom(n.changes).Draw(t, "change"))
+		g.ApplyPeerChange(rapid.SampledFrom(n.changes).Draw(t, "change"))
 	}
 }
 
@@ -132,7 +132,7 @@
 func (n *network) peerList(t *rapid.T, g *gatewayList) {
 	if len(n.lists) > 0 {
 		l := rapid.SampledFrom(n.lists).Draw(t, "list")
-		g.Adopt(l.items, l.at)
+		g.ApplyPeerList(l.items, l.at)
 	}
 }
 
@@ -145,7 +145,7 @@
 // check fails if the watermark or an entry is older than before, or if an upstream's state
 // matches no revision from the watermark on.
 func (n *network) check(t *rapid.T, g *gatewayList) {
-	watermark := g.Mark()
+	watermark := g.Watermark()
 	if len(g.watermarks) > 0 {
 		assert.Assert(t, watermark >= g.watermarks[len(g.watermarks)-1], "the watermark went back to %d", watermark)
 	}
@@ -192,10 +192,10 @@
 			ordered.Update([]sandbarrow.KeyItem{it}, it.Revision)
 		}
 		for _, g := range n.gateways {
-			if g.Mark() == 0 {
+			if g.Watermark() == 0 {
 				g.Replace(nil, 0)
 			}
-			g.Update(n.history[g.Mark():], n.history.head())
+			g.Update(n.history[g.Watermark():], n.history.head())
 			assert.Equal(t, ids(g.Directory, "s"), ids(ordered, "s"))
 		}
 	})
--- a/directory/change.go
+++ b/directory/change.go
@@ -7,8 +7,8 @@
 	// Items are the entries that changed in more than their heartbeat.
 	Items []sandbarrow.KeyItem `json:"items,omitempty"`
 	// Since and Watermark are the revisions between which Items are complete.
-	Since sandbarrow.StoreRevision `json:"since"`
-	Mark  sandbarrow.StoreRevision `json:"mark"`
+	Since     sandbarrow.StoreRevision `json:"since"`
+	Watermark sandbarrow.StoreRevision `json:"mark"`
 }
 
 // Update applies changes of the list.
@@ -25,17 +25,17 @@
 
 // ApplyPeerChange applies a change that another gateway has read. It ignores a change that
 // leaves a gap to the known revisions: this gateway then reads the list itself.
-func (d *Directory) Learn(c Change) {
+func (d *Directory) ApplyPeerChange(c Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.at == 0 || c.Since > d.at || c.Mark <= d.at {
+	if d.at == 0 || c.Since > d.at || c.Watermark <= d.at {
 		return
 	}
-	d.advance(c.Items, c.Mark)
+	d.advance(c.Items, c.Watermark)
 }
 
 // Watermark returns the revision up to which the list is complete.
-func (d *Directory) Mark() sandbarrow.StoreRevision {
+func (d *Directory) Watermark() sandbarrow.StoreRevision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.at
@@ -43,7 +43,7 @@
 
 // advance applies changes. The caller holds mu.
 func (d *Directory) advance(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) Change {
-	change := Change{Since: d.at, Mark: at}
+	change := Change{Since: d.at, Watermark: at}
 	if len(items) == 0 {
 		d.confirm(at) // the most frequent case; it needs no new view
 		return change
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -86,7 +86,7 @@
 
 // ApplyPeerList applies a peer's entries if they are complete up to a newer revision, and
 // reports whether it did.
-func (d *Directory) Adopt(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) bool {
+func (d *Directory) ApplyPeerList(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at <= d.at || len(items) == 0 {
@@ -104,7 +104,7 @@
 }
 
 // LastAdded returns when an upstream was last listed that was not known before.
-func (d *Directory) LastNew() time.Time {
+func (d *Directory) LastAdded() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lastAdded
@@ -149,7 +149,7 @@
 }
 
 // RefusedEntries returns how many entries were malformed.
-func (d *Directory) Refused() uint64 {
+func (d *Directory) RefusedEntries() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused
--- a/enginelink/estatesync.go
+++ b/enginelink/estatesync.go
@@ -14,17 +14,17 @@
 const (
 	// StoreWatchGrace is how long this process waits for its own store watch to deliver what a
 	// peer has published. Without it the same change would be fetched twice.
-	WatchLead = 300 * time.Millisecond
+	StoreWatchGrace = 300 * time.Millisecond
 	// fetchTimeout bounds one fetch from a peer.
 	fetchTimeout = 2 * time.Second
 )
 
 // PublishWatermarks sends a peer each new watermark of the operators' state until ctx ends.
-func AnnounceMarks(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) {
+func PublishWatermarks(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) {
 	for ctx.Err() == nil {
-		watermark, changed := e.Mark()
+		watermark, changed := e.Watermark()
 		if watermark.Revision > 0 {
-			if err := rpc.Notify(ctx, MethodMark, watermark); err != nil {
+			if err := rpc.Notify(ctx, MethodWatermark, watermark); err != nil {
 				return
 			}
 		}
@@ -37,8 +37,8 @@
 
 // FollowWatermark fetches the state that a peer has published and this side lacks, unless
 // the store delivers it within grace.
-func FollowMark(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate, published Mark, grace time.Duration) {
-	local, _ := e.Mark()
+func FollowWatermark(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate, published Watermark, grace time.Duration) {
+	local, _ := e.Watermark()
 	if !local.MayLack(published) {
 		return
 	}
@@ -51,7 +51,7 @@
 	}
 	e.Fetching.Lock()
 	defer e.Fetching.Unlock()
-	if local, _ = e.Mark(); !local.MayLack(published) {
+	if local, _ = e.Watermark(); !local.MayLack(published) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -62,13 +62,13 @@
 // Fetch requests from a peer the part of the operators' state that this side lacks. The
 // reply also says how long ago the peer's state was confirmed as the newest.
 func Fetch(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) error {
-	local, _ := e.Mark()
+	local, _ := e.Watermark()
 	requestedAt := boottime.Now()
 	var reply Estate
 	if err := rpc.Call(ctx, MethodFetch, local, &reply); err != nil {
 		return err
 	}
-	e.Learn(reply.Items, Mark{Earlier: reply.Earlier, Revision: reply.Mark})
+	e.Learn(reply.Items, Watermark{Earlier: reply.Earlier, Revision: reply.Watermark})
 	if reply.AgeMS != nil {
 		e.Confirm(requestedAt.Add(-time.Duration(*reply.AgeMS)*time.Millisecond), reply.Table)
 	}
@@ -77,10 +77,10 @@
 
 // ServeFetch replies to a fetch.
 func ServeFetch(rpc *jsonrpc2.Conn, r *jsonrpc2.Request, e *estate.Estate) (any, error) {
-	return wire.Later(rpc, r, func(known Mark) any {
+	return wire.Later(rpc, r, func(known Watermark) any {
 		confirmed, table := e.Confirmed() // read before the items, which may then be newer but not older
 		items, watermark := e.Since(known)
-		return Estate{AgeMS: ageMS(confirmed), Earlier: watermark.Earlier, Items: items, Mark: watermark.Revision, Table: table}
+		return Estate{AgeMS: ageMS(confirmed), Earlier: watermark.Earlier, Items: items, Watermark: watermark.Revision, Table: table}
 	})
 }
 
--- a/enginelink/messages.go
+++ b/enginelink/messages.go
@@ -23,22 +23,22 @@
 	MethodAcquire = "engine.acquire"
 	// MethodResponseStarted reports that the response to a request has started, which means
 	// that its prompt no longer waits.
-	MethodBegun = "engine.begun"
+	MethodResponseStarted = "engine.begun"
 	// MethodCrashes sends the requests under which upstreams have exited. It is a call between
 	// gateways; its result holds the records of the other side.
 	MethodCrashes = "crash.records"
 	// MethodUnpin ends a pin.
-	MethodDone = "engine.done"
+	MethodUnpin = "engine.done"
 	// MethodFetch fetches changes of the operators' state; a call.
 	MethodFetch = "estate.fetch"
 	// MethodHello opens a link.
 	MethodHello = "link.hello"
 	// MethodCachedPrompts reports which prompt prefixes an engine has cached.
-	MethodKept = "engine.kept"
+	MethodCachedPrompts = "engine.kept"
 	// MethodLead requests that a controller leads a quota shard.
 	MethodLead = "quota.lead"
 	// MethodLedShards publishes the quota shards that a controller leads.
-	MethodLeads = "quota.leads"
+	MethodLedShards = "quota.leads"
 	// MethodLimit publishes the limits that upstreams have named, from controllers to gateways.
 	MethodLimit = "limit.named"
 	// MethodListed carries changes that one gateway has read from the list of upstreams. The
@@ -48,7 +48,7 @@
 	MethodPaused = "engine.paused"
 	// MethodWatermark publishes the revision up to which the sender's view of the operators'
 	// state is complete.
-	MethodMark = "estate.mark"
+	MethodWatermark = "estate.mark"
 	// MethodSend requests one send from the coordinator of an upstream's limit; a call.
 	MethodSend = "limit.send"
 	// MethodSent reports to the coordinator of an upstream's limit which sends another
@@ -59,20 +59,20 @@
 	MethodStatus = "engine.status"
 	// MethodAcquireQuota requests a request's units from the leader of its workspace's quota
 	// shard; a call.
-	MethodTake = "quota.take"
+	MethodAcquireQuota = "quota.take"
 	// MethodPinned reports an existing pin to a controller that may not have a record of it.
-	MethodUsing = "engine.using"
+	MethodPinned = "engine.using"
 )
 
 const (
 	// HeartbeatInterval is the longest time between two statuses, the same as between entries and agents.
-	Heartbeat = 500 * time.Millisecond
+	HeartbeatInterval = 500 * time.Millisecond
 	// HeartbeatTimeout is the time without a status after which a controller counts as
 	// unreachable.
-	HeartbeatTimeout = 3 * Heartbeat
+	HeartbeatTimeout = 3 * HeartbeatInterval
 	// ExtraLoadWait is how much longer than its normal wait a request stays with an engine that
 	// is already loading its adapter. It covers several loads under contention.
-	LoadPatience = 2 * time.Second
+	ExtraLoadWait = 2 * time.Second
 )
 
 // ReadBufferBytes is the size of a link's read buffer. It holds any status, which has some
@@ -106,13 +106,13 @@
 	// RefuseInstance means that the running instance is not the one that the gateway named.
 	RefuseInstance RefuseReason = "instance"
 	// RefuseCanceled means that the gateway has canceled the request in the meantime.
-	RefuseLeft RefuseReason = "left"
+	RefuseCanceled RefuseReason = "left"
 	// RefuseNoModel means that the engine has not loaded the base model.
 	RefuseNoModel RefuseReason = "no-model"
 	// RefuseUnreachable means that the engine does not respond to its controller.
 	RefuseUnreachable RefuseReason = "silent"
 	// RefuseNoSlot means that no slot became free in time.
-	RefuseSlots RefuseReason = "slots"
+	RefuseNoSlot RefuseReason = "slots"
 )
 
 // Hello opens a link.
@@ -140,37 +140,37 @@
 }
 
 // ShardTerm is the term in which a shard is led.
-type LeadTerm struct {
+type ShardTerm struct {
 	Shard quota.Shard `json:"shard"`
 	Term  quota.Term  `json:"term"`
 }
 
 // LedShards are all shards that a controller leads.
-type Leads struct {
-	Terms []LeadTerm `json:"terms"`
+type LedShards struct {
+	Terms []ShardTerm `json:"terms"`
 }
 
 // AcquireQuota requests units of a workspace's limit from the leader of a shard. They count
 // against the shard's share of the limit.
-type Take struct {
+type AcquireQuota struct {
 	Shard     quota.Shard            `json:"shard"`
 	Units     int64                  `json:"units"`
 	Workspace sandbarrow.WorkspaceID `json:"workspace"`
 }
 
 // QuotaGrant is the reply to an AcquireQuota.
-type Taken struct {
+type QuotaGrant struct {
 	Granted bool `json:"granted,omitempty"`
 	// ValidForMS is how long the grant may be used, in milliseconds from when it was requested.
-	LifeMS int64 `json:"life_ms,omitempty"`
+	ValidForMS int64 `json:"life_ms,omitempty"`
 	// NotLeader says that the controller no longer leads the shard, or does not know the
 	// workspace. Another controller may.
-	NotLeading bool `json:"not_leading,omitempty"`
+	NotLeader bool `json:"not_leading,omitempty"`
 	// RetryAfterMS is after how many milliseconds a request that was not granted may be retried.
-	RetryMS int64 `json:"retry_ms,omitempty"`
+	RetryAfterMS int64 `json:"retry_ms,omitempty"`
 	// NewTerm says that the term has just begun and has no units yet. A request that was not
 	// granted should then be retried and not refused.
-	Young bool `json:"young,omitempty"`
+	NewTerm bool `json:"young,omitempty"`
 }
 
 // Limits are the limits that upstreams have named.
@@ -182,7 +182,7 @@
 type Send struct {
 	throttle.Record
 	// MaxWaitMS is how long the send may wait, in milliseconds.
-	WithinMS int64 `json:"within_ms,omitempty"`
+	MaxWaitMS int64 `json:"within_ms,omitempty"`
 }
 
 // SendGrant is the reply to a Send.
@@ -204,7 +204,7 @@
 }
 
 // Watermark holds the revisions up to which a side's estate is complete.
-type Mark = estate.Mark
+type Watermark = estate.Watermark
 
 // Estate is the reply to a fetch.
 type Estate struct {
@@ -212,9 +212,9 @@
 	// newest. It is nil if it never was.
 	AgeMS *int64 `json:"age_ms,omitempty"`
 	// Earlier holds the revisions up to which the sender is complete in earlier eras of the store.
-	Earlier []sandbarrow.StoreRevision `json:"earlier,omitempty"`
-	Items   []sandbarrow.KeyItem       `json:"items"`
-	Mark    sandbarrow.StoreRevision   `json:"mark"`
+	Earlier   []sandbarrow.StoreRevision `json:"earlier,omitempty"`
+	Items     []sandbarrow.KeyItem       `json:"items"`
+	Watermark sandbarrow.StoreRevision   `json:"mark"`
 	// Table is the revision of the sender's routing table.
 	Table sandbarrow.StoreRevision `json:"table,omitempty"`
 }
@@ -227,15 +227,15 @@
 	Model    sandbarrow.BaseModelID `json:"model"`
 	// MaxWaitingTokens is how many prompt tokens may wait at the engine before another engine
 	// becomes the better choice. With 0 the controller accepts the request in any case.
-	MostWaiting int `json:"most_waiting,omitempty"`
-	Priority    int `json:"priority"`
+	MaxWaitingTokens int `json:"most_waiting,omitempty"`
+	Priority         int `json:"priority"`
 	// PromptPrefixes are the prefixes of the prompt. They serve to estimate how much of it the
 	// engine has cached.
-	Stretches []promptcache.PromptPrefix `json:"stretches,omitempty"`
-	Tokens    int                        `json:"tokens"`
+	PromptPrefixes []promptcache.PromptPrefix `json:"stretches,omitempty"`
+	Tokens         int                        `json:"tokens"`
 	// SlackMS is within how many milliseconds a grant must arrive for the response to be in
 	// time. It may be negative.
-	UsefulMS int64 `json:"useful_ms"`
+	SlackMS int64 `json:"useful_ms"`
 	// Version is the minimum version that may run.
 	Version sandbarrow.AdapterVersion `json:"version"`
 	// WaitMS is how many milliseconds the gateway waits for a load to begin.
@@ -244,10 +244,10 @@
 
 // CachedPrompts are changes of the prompt prefixes that an engine has cached, as estimated
 // by its controller.
-type Kept struct {
+type CachedPrompts struct {
 	// Complete says that the changes are the complete list of cached prefixes.
-	All     bool                 `json:"all,omitempty"`
-	Changes []promptcache.Change `json:"changes"`
+	Complete bool                 `json:"all,omitempty"`
+	Changes  []promptcache.Change `json:"changes"`
 }
 
 // Grant is the reply to an Acquire.
--- a/enginelink/status.go
+++ b/enginelink/status.go
@@ -56,7 +56,7 @@
 // Brief returns the status without models, slots, loads and speed, for a reader that has
 // their current values.
 func (s Status) Brief() Status {
-	s.Loads, s.Models, s.ModelVersions, s.Slots, s.Speed, s.Same = Loads{}, nil, nil, nil, readspeed.Speed{}, true
+	s.Loads, s.Models, s.ModelVersions, s.Slots, s.Speed, s.OmitsUnchanged = Loads{}, nil, nil, nil, readspeed.Speed{}, true
 	return s
 }
 
@@ -150,11 +150,11 @@
 // Expand restores the status from the result of Full, or from that of Brief or Since and the
 // last status.
 func (s *Status) Expand(last *Status) {
-	if !s.Same {
+	if !s.OmitsUnchanged {
 		fillDefaults(s.Slots, s.Models)
 		return
 	}
-	s.Models, s.ModelVersions, s.Slots, s.Same = last.Models, last.ModelVersions, last.Slots, false
+	s.Models, s.ModelVersions, s.Slots, s.OmitsUnchanged = last.Models, last.ModelVersions, last.Slots, false
 	if len(s.Changes) > 0 {
 		fillDefaults(s.Changes, s.Models)
 		s.Slots = applyChanges(last.Slots, s.Changes)
@@ -173,7 +173,7 @@
 	// Count is the number of loads.
 	Count uint64 `json:"n"`
 	// LastLoadMS is how many milliseconds the last load took.
-	TookMS int64 `json:"t"`
+	LastLoadMS int64 `json:"t"`
 }
 
 // Status is the state of an engine as its controller reports it.
@@ -198,7 +198,7 @@
 	// OmitsUnchanged says that the status is incomplete: Models, ModelVersions and Slots have the
 	// values of the last status on this link (Slots with Changes applied), and so have Loads and
 	// Speed where they are zero.
-	Same bool `json:"k,omitempty"`
+	OmitsUnchanged bool `json:"k,omitempty"`
 	// EngineUnreachable says that the engine does not respond to its controller.
 	EngineUnreachable bool         `json:"silent,omitempty"`
 	Slots             []SlotStatus `json:"s,omitempty"`
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -84,7 +84,7 @@
 	// latest has all items applied. It is apart from view, which stays nil until there is
 	// a table, so that a version named before that is not lost.
 	latest View
-	mark   Mark
+	mark   Watermark
 }
 
 // New returns an estate that knows nothing yet.
@@ -100,9 +100,9 @@
 	return e.view.Load()
 }
 
-// Mark returns up to which revisions this estate is complete, and a channel that closes
+// Watermark returns up to which revisions this estate is complete, and a channel that closes
 // at its next change.
-func (e *Estate) Mark() (Mark, <-chan struct{}) {
+func (e *Estate) Watermark() (Watermark, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.mark, e.changed
@@ -110,7 +110,7 @@
 
 // Since returns the items that a peer with the given mark may lack, and the mark up to
 // which they make it complete.
-func (e *Estate) Since(known Mark) ([]sandbarrow.KeyItem, Mark) {
+func (e *Estate) Since(known Watermark) ([]sandbarrow.KeyItem, Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var items []sandbarrow.KeyItem
@@ -132,7 +132,7 @@
 }
 
 // Learn applies changes that a peer has sent and the mark up to which they are complete.
-func (e *Estate) Learn(items []sandbarrow.KeyItem, mark Mark) {
+func (e *Estate) Learn(items []sandbarrow.KeyItem, mark Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.merge(fromPeer, items, mark)
@@ -149,7 +149,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answered = time.Now()
-	e.merge(fromStore, items, Mark{Revision: at})
+	e.merge(fromStore, items, Watermark{Revision: at})
 }
 
 // source says who has sent a change, for log lines.
@@ -161,7 +161,7 @@
 )
 
 // merge keeps what is newer than what is known. The caller holds mu.
-func (e *Estate) merge(from source, items []sandbarrow.KeyItem, mark Mark) {
+func (e *Estate) merge(from source, items []sandbarrow.KeyItem, mark Watermark) {
 	e.confirmation.observeEra(mark.Revision, items)
 	var changed []sandbarrow.KeyItem
 	for _, it := range items {
--- a/gateway/acquirequota.go
+++ b/gateway/acquirequota.go
@@ -32,7 +32,7 @@
 // quotaRequest is the result of requesting quota units, for the log line of the call.
 type quotaRequest struct {
 	attempts int
-	reply    enginelink.Taken
+	reply    enginelink.QuotaGrant
 	// term is the term of the last leader that was queried.
 	term  quota.Term
 	units int64
@@ -47,7 +47,7 @@
 	}
 	return []slog.Attr{
 		slog.Int64("units", q.units), slog.Int("quota_asks", q.attempts), slog.Uint64("quota_term", uint64(q.term)),
-		slog.Int64("quota_wait_ms", q.waited.Milliseconds()), slog.Int64("quota_retry_ms", q.reply.RetryMS),
+		slog.Int64("quota_wait_ms", q.waited.Milliseconds()), slog.Int64("quota_retry_ms", q.reply.RetryAfterMS),
 	}
 }
 
@@ -106,12 +106,12 @@
 			combined.granted = true
 			return combined
 		default:
-			retryAfter := time.Duration(reply.RetryMS) * time.Millisecond
+			retryAfter := time.Duration(reply.RetryAfterMS) * time.Millisecond
 			if combined.refusals == 0 || retryAfter < combined.retryAfter {
 				combined.retryAfter = retryAfter
 			}
 			combined.refusals++
-			combined.newLeader = combined.newLeader || reply.Young
+			combined.newLeader = combined.newLeader || reply.NewTerm
 		}
 	}
 	return combined
@@ -119,7 +119,7 @@
 
 // queryLeader queries the leader of one shard. ok is false if there is none, or if its reply came
 // too late to be used.
-func (c *call) queryLeader(ctx context.Context, shard quota.Shard) (reply enginelink.Taken, ok bool) {
+func (c *call) queryLeader(ctx context.Context, shard quota.Shard) (reply enginelink.QuotaGrant, ok bool) {
 	link, term := c.gateway.leaders.leader(shard)
 	if link == nil {
 		return reply, false
@@ -132,12 +132,12 @@
 	defer cancel()
 	c.quota.attempts, c.quota.term = c.quota.attempts+1, term
 	sent := boottime.Now()
-	err := rpc.Call(ctx, enginelink.MethodTake, enginelink.Take{Shard: shard, Units: c.quota.units, Workspace: c.workspace.ID}, &reply)
+	err := rpc.Call(ctx, enginelink.MethodAcquireQuota, enginelink.AcquireQuota{Shard: shard, Units: c.quota.units, Workspace: c.workspace.ID}, &reply)
 	c.quota.reply = reply
-	if err != nil || reply.NotLeading {
+	if err != nil || reply.NotLeader {
 		c.gateway.leaders.markSuspect(shard, term)
 		return reply, false
 	}
-	late := reply.Granted && boottime.Since(sent) >= time.Duration(reply.LifeMS)*time.Millisecond
+	late := reply.Granted && boottime.Since(sent) >= time.Duration(reply.ValidForMS)*time.Millisecond
 	return reply, !late
 }
--- a/gateway/crashstore.go
+++ b/gateway/crashstore.go
@@ -96,7 +96,7 @@
 // writeChanges writes the changed records that are worth storing, and removes expired ones. Failed
 // writes are retried.
 func (s *crashStore) writeChanges(ctx context.Context) {
-	s.resetOnRestore(s.gateway.directory.Mark().Era())
+	s.resetOnRestore(s.gateway.directory.Watermark().Era())
 	minCrashes := 1
 	if s.gateway.engines.anyUp() {
 		minCrashes = minStoredCrashes
--- a/gateway/encodedlist.go
+++ b/gateway/encodedlist.go
@@ -25,12 +25,12 @@
 
 // since returns the complete list, or only its revision to a peer whose list is not older.
 func (l *encodedList) since(known sandbarrow.StoreRevision) (json.RawMessage, error) {
-	if revision := l.directory.Mark(); known >= revision {
+	if revision := l.directory.Watermark(); known >= revision {
 		return encodeList(nil, revision)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.encoded != nil && l.revision == l.directory.Mark() {
+	if l.encoded != nil && l.revision == l.directory.Watermark() {
 		return l.encoded, nil
 	}
 	items, revision := l.directory.Items()
@@ -43,6 +43,6 @@
 }
 
 func encodeList(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) (json.RawMessage, error) {
-	text, err := json.Marshal(enginelink.Estate{Items: items, Mark: at})
+	text, err := json.Marshal(enginelink.Estate{Items: items, Watermark: at})
 	return text, errors.Trace(err)
 }
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -205,10 +205,10 @@
 }
 
 // applyCached applies changes of the engine's prompt cache.
-func (l *linkState) applyCached(k *enginelink.Kept) {
+func (l *linkState) applyCached(k *enginelink.CachedPrompts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cached.Apply(k.Changes, k.All)
+	l.cached.Apply(k.Changes, k.Complete)
 }
 
 // connection returns the connection to the controller, or nil.
--- a/gateway/passresponse.go
+++ b/gateway/passresponse.go
@@ -100,7 +100,7 @@
 	if !e.linked {
 		return
 	}
-	e.link.report(enginelink.MethodBegun, sandbarrow.RequestID(c.id))
+	e.link.report(enginelink.MethodResponseStarted, sandbarrow.RequestID(c.id))
 	e.link.addWaitingTokens(c.priority(), -c.uncachedTokens)
 	c.uncachedTokens = 0
 }
--- a/gateway/quotaleaders.go
+++ b/gateway/quotaleaders.go
@@ -62,7 +62,7 @@
 }
 
 // apply applies the terms that a controller publishes.
-func (q *quotaLeaders) apply(l *controllerLink, leads *enginelink.Leads) {
+func (q *quotaLeaders) apply(l *controllerLink, leads *enginelink.LedShards) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	led := map[quota.Shard]bool{}
@@ -149,7 +149,7 @@
 
 // linksSettled reports whether most of the expected links are up.
 func (g *Gateway) linksSettled(up int) bool {
-	if boottime.Since(g.directory.LastNew()) < listingSettleTime {
+	if boottime.Since(g.directory.LastAdded()) < listingSettleTime {
 		return false
 	}
 	known := g.engines.linkCount()
--- a/gateway/sendpermits.go
+++ b/gateway/sendpermits.go
@@ -18,11 +18,11 @@
 	gateway      *Gateway
 	coordinators *sendkeepers.Coordinators
 	// own grants sends to all peers if this gateway is the coordinator.
-	own *enginelink.SendKeeper
+	own *enginelink.SendCoordinator
 }
 
 func newSendPermits(g *Gateway) *sendPermits {
-	p := &sendPermits{gateway: g, own: enginelink.NewSendKeeper(1)}
+	p := &sendPermits{gateway: g, own: enginelink.NewSendCoordinator(1)}
 	p.coordinators = sendkeepers.New(sendkeepers.Config{
 		Controllers: p.controllers, Logger: g.logger, Own: p.own, PeerAddress: g.config.PeerAddress, Peers: g.config.Peers,
 	})
@@ -62,7 +62,7 @@
 	case !need:
 		return &sendPermit{}, true
 	}
-	grant := p.coordinators.RequestSend(ctx, enginelink.Send{Record: record, WithinMS: within.Milliseconds()})
+	grant := p.coordinators.RequestSend(ctx, enginelink.Send{Record: record, MaxWaitMS: within.Milliseconds()})
 	p.gateway.upstreams.endPermitRequest(in.ID, &grant, within)
 	outcome := "refused"
 	if grant.Granted {
--- a/gateway/trust.go
+++ b/gateway/trust.go
@@ -69,7 +69,7 @@
 // had no route: the revision up to which it is complete, and the time since the store last
 // responded.
 func (g *Gateway) stateAttributes() []slog.Attr {
-	complete, _ := g.estate.Mark()
+	complete, _ := g.estate.Watermark()
 	return []slog.Attr{
 		slog.Any("complete_to", complete.Revision), slog.Int64("store_answered_ms", sinceMS(g.estate.Answered())),
 	}
@@ -104,7 +104,7 @@
 
 // storeEra returns the store's era when the list of upstreams was read.
 func (g *Gateway) storeEra() float64 {
-	return float64(g.directory.Mark().Era())
+	return float64(g.directory.Watermark().Era())
 }
 
 // confirmedSeconds returns the time in seconds since the configuration was confirmed to be the
--- a/gateway/unreportedpin_test.go
+++ b/gateway/unreportedpin_test.go
@@ -69,7 +69,7 @@
 	c := connectTestController(t, l)
 	c.pinWithoutController(t)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
-	c.expect(t, enginelink.MethodUsing)
+	c.expect(t, enginelink.MethodPinned)
 }
 
 func TestPinDuringHeartbeatTimeoutIsReported(t *testing.T) {
@@ -82,5 +82,5 @@
 	l.mu.Unlock()
 	c.pinWithoutController(t)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
-	c.expect(t, enginelink.MethodUsing)
+	c.expect(t, enginelink.MethodPinned)
 }
--- a/prefixwatch/prefixwatch.go
+++ b/prefixwatch/prefixwatch.go
@@ -60,7 +60,7 @@
 	// has applied it. It gets the time of the request and the items. It is not called for
 	// watches: a watch may return nothing for some time before its history is dropped, and
 	// therefore confirms nothing.
-	Confirmed func(requestedAt time.Time, items []sandbarrow.KeyItem)
+	OnFullRead func(requestedAt time.Time, items []sandbarrow.KeyItem)
 	// Covered reports whether other processes deliver all changes. No calls are made while it
 	// returns true. nil means never.
 	Covered func() bool
@@ -70,15 +70,15 @@
 	Logger    *slog.Logger
 	// Watermark returns the revision up to which the consumer is complete. It is set if other
 	// processes deliver changes too.
-	Mark func() sandbarrow.StoreRevision
+	Watermark func() sandbarrow.StoreRevision
 	// MinInterval is the shortest time between two watches. It limits the calls for a busy
 	// prefix; changes in between arrive together.
-	Pace   time.Duration
-	Prefix string
+	MinInterval time.Duration
+	Prefix      string
 	// ProcessCount returns how many processes follow the prefix and send each other all
 	// changes, including this one. nil means only this one.
-	Sharing func() int
-	Store   sandbarrow.PrefixStore
+	ProcessCount func() int
+	Store        sandbarrow.PrefixStore
 	// Wait is the longest wait of one watch call if the process does not share its reads.
 	Wait time.Duration
 
@@ -123,8 +123,8 @@
 			backoff = min(2*backoff, sharedMaxBackoff(w.processCount()))
 			w.waitWhileFresh(ctx)
 		}
-		if known && w.Mark != nil {
-			at = max(at, w.Mark())
+		if known && w.Watermark != nil {
+			at = max(at, w.Watermark())
 		}
 	}
 	return nil
@@ -154,17 +154,17 @@
 
 // processCount returns how many processes share their reads.
 func (w *Watch) processCount() int {
-	if w.Sharing == nil {
+	if w.ProcessCount == nil {
 		return 1
 	}
-	return w.Sharing()
+	return w.ProcessCount()
 }
 
 func (w *Watch) interval() time.Duration {
 	if w.Expecting != nil && w.Expecting() {
-		return min(w.Pace, expectingInterval)
+		return min(w.MinInterval, expectingInterval)
 	}
-	return w.Pace
+	return w.MinInterval
 }
 
 // step reads the whole prefix or, if it is known, watches it once. After a failed call the watch
@@ -179,8 +179,8 @@
 		if err == nil {
 			w.Consumer.Replace(items, at)
 		}
-		if err == nil && w.Confirmed != nil {
-			w.Confirmed(requestedAt, items)
+		if err == nil && w.OnFullRead != nil {
+			w.OnFullRead(requestedAt, items)
 		}
 		return at, err
 	}
