--- a/config/apply.go
+++ b/config/apply.go
@@ -12,31 +12,31 @@
 	"sandbarrow.example/sandbarrow/internal/pause"
 )
 
-// ApplyResult says how an apply ended.
+// ApplyResult is the result of an apply.
 type ApplyResult string
 
 // The results of an apply.
 const (
-	// ApplyAccepted means that the configuration is the newest.
+	// ApplyAccepted means that the configuration was accepted and is the newest one.
 	ApplyAccepted ApplyResult = "accepted"
-	// ApplyConflict means that another revision than expected was in force; nothing changed.
+	// ApplyConflict means that another revision than the expected one was in force. Nothing was changed.
 	ApplyConflict ApplyResult = "conflict"
-	// ApplyRefused means that the store refused, the text is not valid or it gives a
-	// version other weights; nothing changed.
+	// ApplyRefused means that the store refused a call, the document is not valid, or it changes the weights
+	// of an existing version. Nothing was changed.
 	ApplyRefused ApplyResult = "refused"
-	// ApplySuperseded means that it was accepted and a later one has followed.
+	// ApplySuperseded means that the configuration was accepted and then replaced by a later one.
 	ApplySuperseded ApplyResult = "superseded"
-	// ApplyUnknown means that it may have been accepted.
+	// ApplyUnknown means that the configuration may or may not have been accepted.
 	ApplyUnknown ApplyResult = "unknown"
 )
 
-// Store attempts of one step of an apply.
+// The attempts for each store call of an apply, and the delay between them.
 const (
-	applyTries = 5
-	applyPause = 200 * time.Millisecond
+	applyAttempts   = 5
+	applyRetryDelay = 200 * time.Millisecond
 )
 
-// ReadHead reads the head. A store without one gives a zero head.
+// ReadHead reads the head from the store. It returns a zero head if the store has none.
 func ReadHead(ctx context.Context, s sandbarrow.Store) (Head, sandbarrow.StoreRevision, error) {
 	item, err := s.Get(ctx, HeadKey)
 	if errors.Is(err, sandbarrow.ErrStoreNotFound) {
@@ -60,7 +60,7 @@
 	return h, nil
 }
 
-// ReadSnapshot reads a head's shards, those in known without a call.
+// ReadSnapshot returns a head with its shards. Shards in known are not read from the store.
 func ReadSnapshot(ctx context.Context, s sandbarrow.Store, h Head, known map[sandbarrow.Digest][]byte) (Snapshot, error) {
 	snapshot := Snapshot{Head: h, Shards: make(map[sandbarrow.Digest][]byte, len(h.Shards))}
 	for _, digest := range h.Shards {
@@ -80,14 +80,14 @@
 	return snapshot, nil
 }
 
-// Apply makes d the configuration after the expected revision. A lost reply is
-// settled by reading back.
+// Apply stores d as the revision after the expected one. If a reply of the store is lost, it reads the state
+// back to find out whether the write took effect.
 func Apply(ctx context.Context, s sandbarrow.Store, d *Document, expected sandbarrow.Revision) (ApplyResult, Head, error) {
 	snapshot, err := split(d)
 	if err != nil {
 		return ApplyRefused, Head{}, err
 	}
-	current, previous, err := readHeadRetried(ctx, s)
+	current, previous, err := readHeadWithRetry(ctx, s)
 	if err != nil {
 		return ApplyRefused, Head{}, errors.Annotate(err, "nothing was changed")
 	}
@@ -110,35 +110,35 @@
 	return swapHead(ctx, s, previous, next)
 }
 
-func readHeadRetried(ctx context.Context, s sandbarrow.Store) (Head, sandbarrow.StoreRevision, error) {
+func readHeadWithRetry(ctx context.Context, s sandbarrow.Store) (Head, sandbarrow.StoreRevision, error) {
 	var head Head
 	var revision sandbarrow.StoreRevision
-	err := retried(ctx, func() (err error) {
+	err := withRetry(ctx, func() (err error) {
 		head, revision, err = ReadHead(ctx, s)
 		return err
 	})
 	return head, revision, err
 }
 
-// writeShards creates the shards that the current head lacks. A shard is
-// named by its content, so that a conflict means it is there already.
+// writeShards creates the shards that the current head lacks. Shards are content-addressed: a conflict means
+// that the shard already exists.
 func writeShards(ctx context.Context, s sandbarrow.Store, snapshot Snapshot, current Head) error {
-	there := map[sandbarrow.Digest]bool{}
+	existing := map[sandbarrow.Digest]bool{}
 	for _, digest := range current.Shards {
-		there[digest] = true
+		existing[digest] = true
 	}
 	for digest, value := range snapshot.Shards {
-		if there[digest] {
+		if existing[digest] {
 			continue
 		}
-		if err := retried(ctx, func() error { return writeShard(ctx, s, digest, value) }); err != nil {
+		if err := withRetry(ctx, func() error { return writeShard(ctx, s, digest, value) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// writeShard creates one shard; a lost reply is settled by reading it back.
+// writeShard creates one shard. If the reply is lost, it reads the shard back.
 func writeShard(ctx context.Context, s sandbarrow.Store, digest sandbarrow.Digest, value []byte) error {
 	_, err := s.CompareAndSwap(ctx, shardKey(digest), 0, value, "")
 	if err == nil || errors.Is(err, sandbarrow.ErrStoreConflict) {
@@ -150,45 +150,45 @@
 	return err
 }
 
-// swapHead swaps the head and settles a lost reply from the history.
+// swapHead swaps the head. If a reply is lost, the history of the current head shows whether the swap succeeded.
 func swapHead(ctx context.Context, s sandbarrow.Store, previous sandbarrow.StoreRevision, next Head) (ApplyResult, Head, error) {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return ApplyRefused, Head{}, errors.Trace(err)
 	}
-	lost := false
-	for range applyTries {
+	replyLost := false
+	for range applyAttempts {
 		_, err = s.CompareAndSwap(ctx, HeadKey, previous, value, "")
 		switch {
 		case err == nil:
 			return ApplyAccepted, next, nil
 		case errors.Is(err, sandbarrow.ErrStoreUnavailable):
-			pause.For(ctx, applyPause)
+			pause.For(ctx, applyRetryDelay)
 			continue
 		}
-		lost = lost || !errors.Is(err, sandbarrow.ErrStoreConflict)
-		current, _, readErr := readHeadRetried(ctx, s)
+		replyLost = replyLost || !errors.Is(err, sandbarrow.ErrStoreConflict)
+		current, _, readErr := readHeadWithRetry(ctx, s)
 		if readErr != nil {
 			return ApplyUnknown, Head{}, errors.Annotate(readErr, "the reply was lost and the head can't be read back")
 		}
-		if result, ok := settle(current, next); ok {
+		if result, ok := findApply(current, next); ok {
 			return result, current, nil
 		}
 		if current.Revision >= next.Revision && !historyCovers(current, next.Revision) {
-			return ApplyUnknown, current, errors.New("the history does not reach back far enough")
+			return ApplyUnknown, current, errors.New("the history of the head does not reach back to this apply")
 		}
 		if errors.Is(err, sandbarrow.ErrStoreConflict) {
-			return ApplyConflict, current, errors.Errorf("revision %d was accepted meanwhile", current.Revision)
+			return ApplyConflict, current, errors.Errorf("revision %d was accepted in the meantime", current.Revision)
 		}
 	}
-	if lost {
+	if replyLost {
 		return ApplyUnknown, Head{}, errors.Annotate(err, "a reply was lost")
 	}
 	return ApplyRefused, Head{}, errors.Annotate(err, "nothing was changed")
 }
 
-// settle finds an apply in the head that stands.
-func settle(current, next Head) (ApplyResult, bool) {
+// findApply looks for the apply that wrote next in the current head and its history.
+func findApply(current, next Head) (ApplyResult, bool) {
 	if current.Token == next.Token {
 		return ApplyAccepted, true
 	}
@@ -208,14 +208,14 @@
 	return n > 0 && h.History[n-1].Revision <= r
 }
 
-// retried repeats a call that is safe to repeat.
-func retried(ctx context.Context, call func() error) error {
+// withRetry makes an idempotent call and retries it after an error, unless ctx has ended or the data is invalid.
+func withRetry(ctx context.Context, call func() error) error {
 	var err error
-	for range applyTries {
+	for range applyAttempts {
 		if err = call(); err == nil || ctx.Err() != nil || errors.Is(err, ErrInvalid) {
 			return err
 		}
-		pause.For(ctx, applyPause)
+		pause.For(ctx, applyRetryDelay)
 	}
 	return err
 }
--- a/config/check.go
+++ b/config/check.go
@@ -10,7 +10,7 @@
 	"sandbarrow.example/sandbarrow/policy"
 )
 
-// checker checks a document as a whole and collects all faults.
+// checker validates a complete document and collects all problems.
 type checker struct {
 	baseModels map[sandbarrow.BaseModelID]bool
 	classes    map[sandbarrow.CallerClass]bool
@@ -34,10 +34,10 @@
 	}
 }
 
-// unique checks a name and that it is the first of its kind.
+// unique checks that a name is valid and not a duplicate.
 func unique[T ~string](c *checker, seen map[T]bool, key string, id T) {
-	c.require(namePattern.MatchString(string(id)) && len(id) <= maxNameLength, key, "%q is no name (letters, digits and ._/-, at most %d)", id, maxNameLength)
-	c.require(!seen[id], key, "%q stands twice", id)
+	c.require(namePattern.MatchString(string(id)) && len(id) <= maxNameLength, key, "%q is not a valid name (letters, digits and ._/-, at most %d characters)", id, maxNameLength)
+	c.require(!seen[id], key, "%q is defined twice", id)
 	seen[id] = true
 }
 
@@ -65,7 +65,7 @@
 func (c *checker) adapter(key string, a *Adapter) {
 	c.require(c.baseModels[a.BaseModel], key+".base_model", "base model %q is not defined", a.BaseModel)
 	c.require(a.Policy == "" || c.policies[a.Policy], key+".policy", "policy %q is not defined", a.Policy)
-	c.require(len(a.Versions) > 0, key+".versions", "must hold a version")
+	c.require(len(a.Versions) > 0, key+".versions", "must list at least one version")
 	versions := map[sandbarrow.VersionID]bool{}
 	for i, v := range a.Versions {
 		at := fmt.Sprintf("%s.versions[%d]", key, i)
@@ -83,7 +83,7 @@
 		c.require(c.classes[caller.Class], key+".class", "class %q is not defined", caller.Class)
 		c.require(len(caller.KeySHA256) == 64 && strings.Trim(string(caller.KeySHA256), "0123456789abcdef") == "",
 			key+".key_sha256", "want 64 lower-case hexadecimal digits")
-		c.require(!keys[caller.KeySHA256], key+".key_sha256", "key stands twice")
+		c.require(!keys[caller.KeySHA256], key+".key_sha256", "key is already used by another caller")
 		keys[caller.KeySHA256] = true
 	}
 }
@@ -93,7 +93,7 @@
 	c.require(l.Priority >= 0, key+".priority", "must not be negative")
 	c.require(l.RequestsPerSecond >= 0, key+".requests_per_second", "must not be negative")
 	c.require(l.Burst >= 0, key+".burst", "must not be negative")
-	c.require(l.Objective.Share >= 0 && l.Objective.Share < 1, key+".objective.share", "%v: want 0 up to, not with, 1", l.Objective.Share)
+	c.require(l.Objective.Share >= 0 && l.Objective.Share < 1, key+".objective.share", "%v: want at least 0 and less than 1", l.Objective.Share)
 }
 
 func (c *checker) policy(key string, p *Policy) {
@@ -109,8 +109,8 @@
 		key := fmt.Sprintf("services[%d]", i)
 		unique(c, ids, key+".id", s.ID)
 		c.require(strings.HasPrefix(s.Prefix, "/") && strings.HasSuffix(s.Prefix, "/") && len(s.Prefix) > 1, key+".prefix", "%q: want a path such as \"/receipts/\"", s.Prefix)
-		c.require(!strings.HasPrefix(s.Prefix, "/v1/"), key+".prefix", "%q: /v1/ is taken by the engines", s.Prefix)
-		c.require(!prefixes[s.Prefix], key+".prefix", "%q stands twice", s.Prefix)
+		c.require(!strings.HasPrefix(s.Prefix, "/v1/"), key+".prefix", "%q: /v1/ is reserved for the engines", s.Prefix)
+		c.require(!prefixes[s.Prefix], key+".prefix", "%q is defined twice", s.Prefix)
 		prefixes[s.Prefix] = true
 	}
 }
@@ -120,10 +120,10 @@
 	c.require(w.BatchWait >= 0 && time.Duration(w.BatchWait) <= maxBatchWait, "weights.batch_wait", "want 0s to %v", maxBatchWait)
 }
 
-// bareReporter words faults of a document that came in shards, without lines.
-type bareReporter struct{}
+// plainReporter formats problems without line numbers, for documents that were read from shards.
+type plainReporter struct{}
 
-// Problem words a fault.
-func (bareReporter) Problem(key, format string, args ...any) string {
+// Problem formats a problem of a key.
+func (plainReporter) Problem(key, format string, args ...any) string {
 	return key + ": " + fmt.Sprintf(format, args...)
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -20,7 +20,7 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-func TestExamples(t *testing.T) {
+func TestExampleConfigurationsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*-configuration.json")
 	assert.NilError(t, err)
 	assert.Equal(t, len(files), 2)
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestProblems(t *testing.T) {
+func TestInvalidDocumentIsRefused(t *testing.T) {
 	for name, tc := range map[string]struct{ text, want string }{
-		"adapter twice":     {`{"base_models":[{"id":"b"}],"adapters":[{"id":"a","base_model":"b","versions":[{"id":"v","weights":"w"}]},` + "\n" + `{"id":"a","base_model":"b","versions":[{"id":"v","weights":"w"}]}]}`, `f:2: adapters[1].id: "a" stands twice`},
+		"adapter twice":     {`{"base_models":[{"id":"b"}],"adapters":[{"id":"a","base_model":"b","versions":[{"id":"v","weights":"w"}]},` + "\n" + `{"id":"a","base_model":"b","versions":[{"id":"v","weights":"w"}]}]}`, `f:2: adapters[1].id: "a" is defined twice`},
 		"costly policy":     {`{"policies":[{"id":"p","once":"[1,2,3,4,5,6,7,8,9].all(a, [1,2,3,4,5,6,7,8,9].all(b, [1,2,3,4,5,6,7,8,9].all(c, adapter.contains(caller))))"}]}`, "cost"},
-		"no versions":       {`{"base_models":[{"id":"b"}],"adapters":[{"id":"a","base_model":"b"}]}`, "adapters[0].versions: must hold a version"},
+		"no versions":       {`{"base_models":[{"id":"b"}],"adapters":[{"id":"a","base_model":"b"}]}`, "adapters[0].versions: must list at least one version"},
 		"policy result":     {`{"policies":[{"id":"p","priority":"'high'"}]}`, "priority: gives string, want int"},
 		"policy syntax":     {`{"policies":[{"id":"p","version":"percent <"}]}`, "policies[0]"},
-		"prefix":            {`{"services":[{"id":"s","prefix":"/v1/x/"}]}`, "taken by the engines"},
+		"prefix":            {`{"services":[{"id":"s","prefix":"/v1/x/"}]}`, "reserved for the engines"},
 		"undefined base":    {`{"adapters":[{"id":"a","base_model":"b","versions":[{"id":"v","weights":"w"}]}]}`, `base model "b" is not defined`},
 		"undefined class":   {`{"callers":[{"id":"c","class":"x","key_sha256":""}]}`, `class "x" is not defined`},
 		"undefined policy":  {`{"base_models":[{"id":"b"}],"adapters":[{"id":"a","base_model":"b","policy":"p","versions":[{"id":"v","weights":"w"}]}]}`, `policy "p" is not defined`},
@@ -54,8 +54,8 @@
 	}
 }
 
-func TestResolve(t *testing.T) {
-	s, err := split(sized(3))
+func TestResolveIsStableAndFollowsRolloutShare(t *testing.T) {
+	s, err := split(documentWithAdapters(3))
 	assert.NilError(t, err)
 	v, err := NewView(s)
 	assert.NilError(t, err)
@@ -66,17 +66,17 @@
 		assert.NilError(t, err)
 		again, err := v.Resolve(c, "adapter-1", false)
 		assert.NilError(t, err)
-		assert.Equal(t, r.Model, again.Model, "a roll-out must be stable")
+		assert.Equal(t, r.Model, again.Model, "the version of a caller must be stable")
 		seen[r.Model.Version]++
 	}
-	assert.Assert(t, seen["v2"] > 150 && seen["v2"] < 250, "%v at 20 in 100", seen)
+	assert.Assert(t, seen["v2"] > 150 && seen["v2"] < 250, "%v, want about 20 in 100 at v2", seen)
 	_, err = v.Resolve(&Caller{Class: "desk"}, "nobody", false)
 	assert.Assert(t, errors.Is(err, ErrUnknownModel))
 }
 
-// document differs from the others by a version of its own in one shard.
-func document(n int) *Document {
-	d := sized(2)
+// distinctDocument returns a document that differs from those of other n in one version of the first adapter.
+func distinctDocument(n int) *Document {
+	d := documentWithAdapters(2)
 	v := Version{ID: sandbarrow.VersionID(fmt.Sprint("n", n)), Weights: fmt.Sprint("w", n)}
 	d.Adapters[0].Versions = append(d.Adapters[0].Versions, v)
 	return d
@@ -87,19 +87,19 @@
 		kv := store.NewMemory()
 		faults := rapid.SliceOfN(rapid.IntRange(0, 7), 30, 30).Draw(rt, "faults")
 		calls := 0
-		faulty := &storetest.Store{Below: kv, Next: func() storetest.Fault {
+		faultyStore := &storetest.Store{Below: kv, Next: func() storetest.Fault {
 			calls++
 			return storetest.Fault(faults[calls%len(faults)] % 6 % 4)
 		}}
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // pauses between tries take no time
+		cancel() // skips the delays between attempts
 		f := NewFollower(kv, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		accepted := 0
 		for n := range rapid.IntRange(1, 8).Draw(rt, "applies") {
 			before, _, err := ReadHead(ctx, kv)
 			assert.NilError(rt, err)
 			expected := before.Revision - sandbarrow.Revision(min(uint64(before.Revision), rapid.Uint64Range(0, 1).Draw(rt, "stale")))
-			result, _, _ := Apply(ctx, faulty, document(n), expected)
+			result, _, _ := Apply(ctx, faultyStore, distinctDocument(n), expected)
 			after, _, err := ReadHead(ctx, kv)
 			assert.NilError(rt, err)
 			switch result {
@@ -110,27 +110,27 @@
 				assert.Equal(rt, after.Revision, before.Revision, "%s", result)
 			case ApplyUnknown:
 			}
-			mark := f.Mark()
+			watermark := f.Mark()
 			if after.Revision > 0 && rapid.Bool().Draw(rt, "follow") {
 				s, err := ReadSnapshot(ctx, kv, after, nil)
 				assert.NilError(rt, err)
 				assert.NilError(rt, f.Offer(s))
 			}
-			old := Snapshot{Head: before}
-			_ = f.Offer(old)
-			assert.Assert(rt, f.Mark().Revision >= mark.Revision, "went back")
+			stale := Snapshot{Head: before}
+			_ = f.Offer(stale)
+			assert.Assert(rt, f.Mark().Revision >= watermark.Revision, "reverted to an older revision")
 		}
 	})
 }
 
-func TestOfferRefuses(t *testing.T) {
-	first, err := split(document(1))
+func TestOfferRefusesRevertedAndBrokenSnapshots(t *testing.T) {
+	first, err := split(distinctDocument(1))
 	assert.NilError(t, err)
 	first.Head.Revision = 5
-	other, err := split(document(2))
+	other, err := split(distinctDocument(2))
 	assert.NilError(t, err)
 	other.Head.Revision = 5
-	broken, err := split(document(3))
+	broken, err := split(distinctDocument(3))
 	assert.NilError(t, err)
 	broken.Head.Revision = 6
 	for digest := range broken.Shards {
@@ -158,7 +158,7 @@
 		}
 		s.Head.Revision = 1
 		if _, err := NewView(s); err != nil {
-			t.Fatalf("accepted text makes no view: %v", err)
+			t.Fatalf("no view from an accepted document: %v", err)
 		}
 	})
 }
@@ -166,15 +166,15 @@
 func TestVersionKeepsItsWeights(t *testing.T) {
 	kv := store.NewMemory()
 	ctx := t.Context()
-	_, _, err := Apply(ctx, kv, sized(3), 0)
+	_, _, err := Apply(ctx, kv, documentWithAdapters(3), 0)
 	assert.NilError(t, err)
 	before, _, err := ReadHead(ctx, kv)
 	assert.NilError(t, err)
 
-	changed := sized(3)
+	changed := documentWithAdapters(3)
 	changed.Adapters[1].Versions[0].Weights = "weights/other"
 	result, _, err := Apply(ctx, kv, changed, 1)
-	assert.Check(t, result == ApplyRefused, "%s: other weights of a version", result)
+	assert.Check(t, result == ApplyRefused, "%s: weights of a version changed", result)
 	assert.Check(t, errors.Is(err, ErrVersionChanged), "%v", err)
 	assert.Check(t, err != nil && strings.Contains(err.Error(), `adapter "adapter-1", version "v1"`), "%v", err)
 	after, _, err := ReadHead(ctx, kv)
@@ -182,10 +182,10 @@
 	assert.Equal(t, after.Revision, before.Revision)
 }
 
-func TestRacingVersions(t *testing.T) {
+func TestRacingAppliesCannotChangeWeights(t *testing.T) {
 	kv := store.NewMemory()
 	ctx := t.Context()
-	_, _, err := Apply(ctx, kv, sized(3), 0)
+	_, _, err := Apply(ctx, kv, documentWithAdapters(3), 0)
 	assert.NilError(t, err)
 	results := make([]ApplyResult, 2)
 	var wg sync.WaitGroup
@@ -196,25 +196,25 @@
 	loser := slices.Index(results, ApplyConflict)
 	assert.Assert(t, loser >= 0 && results[1-loser] == ApplyAccepted, "%v", results)
 	result, _, err := Apply(ctx, kv, withNewVersion(loser), 2)
-	assert.Check(t, result == ApplyRefused, "%s: other weights of the accepted version", result)
+	assert.Check(t, result == ApplyRefused, "%s: weights of the accepted version changed", result)
 	assert.Check(t, err != nil && strings.Contains(err.Error(), `adapter "adapter-1", version "v3"`), "%v", err)
 	result, _, err = Apply(ctx, kv, withNewVersion(1-loser), 2)
 	assert.NilError(t, err)
-	assert.Equal(t, result, ApplyAccepted, "the same weights again")
+	assert.Equal(t, result, ApplyAccepted, "same weights applied again")
 }
 
-// withNewVersion is a document with a third version, whose weights the operator chose.
+// withNewVersion returns a document with a third version, whose weights depend on the operator.
 func withNewVersion(operator int) *Document {
-	d := sized(3)
+	d := documentWithAdapters(3)
 	v := Version{ID: "v3", Weights: fmt.Sprint("weights/of-operator/", operator)}
 	d.Adapters[1].Versions = append(d.Adapters[1].Versions, v)
 	return d
 }
 
-func TestStoredVersionChangeIsRead(t *testing.T) {
+func TestFollowerAppliesStoredWeightsChange(t *testing.T) {
 	f := NewFollower(store.NewMemory(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, weights := range []string{"old", "new"} {
-		d := sized(2)
+		d := documentWithAdapters(2)
 		d.Adapters[0].Versions[0].Weights = weights
 		s, err := split(d)
 		assert.NilError(t, err)
@@ -224,21 +224,21 @@
 	assert.Equal(t, f.Mark().Revision, sandbarrow.Revision(2))
 }
 
-func TestVersionsNotCompared(t *testing.T) {
+func TestUnreadableShardsRefuseApply(t *testing.T) {
 	kv := store.NewMemory()
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // pauses between tries take no time
-	_, head, err := Apply(ctx, kv, document(1), 0)
+	cancel() // skips the delays between attempts
+	_, head, err := Apply(ctx, kv, distinctDocument(1), 0)
 	assert.NilError(t, err)
 	for _, digest := range head.Shards {
 		item, err := kv.Get(ctx, shardKey(digest))
 		assert.NilError(t, err)
 		_, err = kv.CompareAndSwap(ctx, shardKey(digest), item.Revision, []byte("{}"), "")
-		if !errors.Is(err, sandbarrow.ErrStoreConflict) { // one digest stands for many empty shards
+		if !errors.Is(err, sandbarrow.ErrStoreConflict) { // all empty shards have the same digest
 			assert.NilError(t, err)
 		}
 	}
-	result, _, err := Apply(ctx, kv, document(2), 1)
+	result, _, err := Apply(ctx, kv, distinctDocument(2), 1)
 	assert.Equal(t, result, ApplyRefused)
 	assert.Assert(t, errors.Is(err, ErrInvalid), "%v", err)
 }
--- a/config/slope_test.go
+++ b/config/cost_test.go
@@ -10,8 +10,8 @@
 	"sandbarrow.example/sandbarrow/policy"
 )
 
-// sized returns a document with n adapters of two versions.
-func sized(n int) *Document {
+// documentWithAdapters returns a document with n adapters that have two versions each.
+func documentWithAdapters(n int) *Document {
 	d := &Document{
 		BaseModels: []BaseModel{{ID: "base-0"}},
 		Classes:    []Class{{ID: "desk"}},
@@ -26,40 +26,40 @@
 	return d
 }
 
-// BenchmarkConfigurationSlope reports what a configuration costs a box.
-func BenchmarkConfigurationSlope(b *testing.B) {
+// BenchmarkConfigurationCost reports the memory and CPU time that a configuration costs each box.
+func BenchmarkConfigurationCost(b *testing.B) {
 	for _, n := range []int{1000, 5000, 11000} {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
-			s, err := split(sized(n))
+			s, err := split(documentWithAdapters(n))
 			if err != nil {
 				b.Fatal(err)
 			}
 			s.Head.Revision = 1
-			before := heap()
-			kept := Snapshot{Head: s.Head, Shards: map[sandbarrow.Digest][]byte{}}
+			before := heapInUse()
+			stored := Snapshot{Head: s.Head, Shards: map[sandbarrow.Digest][]byte{}}
 			bytes := 0
 			for digest, value := range s.Shards {
-				kept.Shards[digest] = append([]byte(nil), value...)
+				stored.Shards[digest] = append([]byte(nil), value...)
 				bytes += len(value)
 			}
 			var v *View
 			for b.Loop() {
-				if v, err = NewView(kept); err != nil {
+				if v, err = NewView(stored); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(heap()-before)/float64(n), "bytes/adapter")
+			b.ReportMetric(float64(heapInUse()-before)/float64(n), "bytes/adapter")
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "cpu-µs/adapter/change")
 			head, _ := json.Marshal(s.Head)
 			b.ReportMetric(float64(len(head)), "head-bytes")
 			b.ReportMetric(float64(bytes)/float64(len(s.Shards)), "shard-bytes")
 			runtime.KeepAlive(v)
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(stored)
 		})
 	}
 }
 
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/config/document.go
+++ b/config/document.go
@@ -1,6 +1,5 @@
-// Package config holds the operators' configuration: its document, its
-// content-addressed form in the platform's store, its accepted changes and
-// the follower that brings it to every box.
+// Package config implements the operators' configuration: the document, its content-addressed form in the
+// platform's store, the history of accepted changes, and the follower that distributes it to every box.
 package config
 
 import (
@@ -23,22 +22,22 @@
 	Versions  []Version              `json:"versions"`
 }
 
-// BaseModel is a base model that engines hold.
+// BaseModel is a base model that engines serve.
 type BaseModel struct {
 	ID sandbarrow.BaseModelID `json:"id"`
 }
 
-// Caller is a customer with the digest of its key.
+// Caller is a client of the entries. It is identified by the digest of its API key.
 type Caller struct {
 	Class sandbarrow.CallerClass `json:"class"`
 	ID    sandbarrow.CallerID    `json:"id"`
-	// KeySHA256 is the digest of the bearer key that the caller sends.
+	// KeySHA256 is the SHA-256 digest of the bearer key that the caller sends.
 	KeySHA256 sandbarrow.Digest `json:"key_sha256"`
 }
 
-// Class is a class of callers with its limits and objective.
+// Class is a class of callers with a rate limit and a service level objective.
 type Class struct {
-	// Burst is the number of requests above the rate that pass at once.
+	// Burst is the number of requests above the rate that are accepted at once.
 	Burst int                    `json:"burst"`
 	ID    sandbarrow.CallerClass `json:"id"`
 	// NoBatchWait exempts the class from waiting for a batch.
@@ -46,11 +45,11 @@
 	Objective   Objective `json:"objective"`
 	// Priority is 0 for the most urgent class.
 	Priority int `json:"priority"`
-	// RequestsPerSecond is the limit at each entry; 0 is unlimited.
+	// RequestsPerSecond is the rate limit at each entry; 0 means unlimited.
 	RequestsPerSecond float64 `json:"requests_per_second"`
 }
 
-// Document is the whole configuration as operators write it.
+// Document is the complete configuration as operators write it.
 type Document struct {
 	Adapters   []Adapter   `json:"adapters"`
 	BaseModels []BaseModel `json:"base_models"`
@@ -61,24 +60,24 @@
 	Weights    Weights     `json:"weights"`
 }
 
-// Objective is a service level: the share of requests that must be good.
+// Objective is a service level objective: the share of requests that must meet a target.
 type Objective struct {
-	// FirstToken is the latest good time of the first part of an answer.
+	// FirstToken is the longest time to the first part of a response that counts as good.
 	FirstToken jsonc.Duration `json:"first_token"`
-	// Share is the aimed share of good requests, such as 0.95.
+	// Share is the target share of good requests, for example 0.95.
 	Share float64 `json:"share"`
 }
 
-// Policy is a policy with its name.
+// Policy is a named policy.
 type Policy struct {
 	ID sandbarrow.PolicyID `json:"id"`
 	policy.Source
 }
 
-// Service is a plain service under a path prefix.
+// Service is a plain HTTP service under a path prefix.
 type Service struct {
 	ID sandbarrow.ServiceID `json:"id"`
-	// Once says that no call of the service may be repeated.
+	// AtMostOnce says that calls of the service must not be retried.
 	Once   bool   `json:"once"`
 	Prefix string `json:"prefix"`
 }
@@ -86,19 +85,19 @@
 // Version is one version of an adapter.
 type Version struct {
 	ID sandbarrow.VersionID `json:"id"`
-	// Weights is the path in the weight store.
+	// Weights is the path of the weights in the weight store.
 	Weights string `json:"weights"`
 }
 
-// Weights weigh the aims of the decisions.
+// Weights sets the trade-offs between the goals of decisions.
 type Weights struct {
-	// BatchEfficiency from 0 to 1 weighs full engine steps against load stalls.
+	// BatchEfficiency, from 0 to 1, is the weight of full engine steps against load stalls.
 	BatchEfficiency float64 `json:"batch_efficiency"`
-	// BatchWait is the longest wait for a batch.
+	// BatchWait is the longest time that a request waits for a batch.
 	BatchWait jsonc.Duration `json:"batch_wait"`
 }
 
-// ReadFile reads and checks a configuration file.
+// ReadFile reads and validates a configuration file.
 func ReadFile(file string) (*Document, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -107,7 +106,7 @@
 	return Parse(file, text)
 }
 
-// Parse reads and checks a configuration text; file names it in errors.
+// Parse parses and validates a configuration. Errors contain file as the file name.
 func Parse(file string, text []byte) (*Document, error) {
 	d := &Document{}
 	doc, err := jsonc.Decode(file, text, d)
@@ -129,7 +128,7 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/-]*$`)
 
-// problemReporter words a fault at a key.
+// problemReporter formats a problem of a key.
 type problemReporter interface {
 	Problem(key, format string, args ...any) string
 }
--- a/config/follower.go
+++ b/config/follower.go
@@ -14,16 +14,15 @@
 	"sandbarrow.example/sandbarrow/internal/pause"
 )
 
-// followPause is the mean pause after a failed watch; it is jittered so that boxes do not come back
-// together after an outage.
-const followPause = 500 * time.Millisecond
+// watchRetryDelay is the mean delay after a failed watch. It is jittered to keep boxes from reconnecting all at
+// once after an outage.
+const watchRetryDelay = 500 * time.Millisecond
 
-// ErrReverts is the error of a head that is older than the one in force, or of
-// the same revision with another digest.
+// ErrReverts means that a head is older than the one in force, or has the same revision and another digest.
 const ErrReverts = errors.ConstError("config: would revert")
 
-// Follower keeps a box at the newest configuration it has heard of, from the
-// store or from peers. It never goes back.
+// Follower keeps a box at the newest configuration received from the store or from peers. It never reverts to
+// an older one.
 type Follower struct {
 	logger *slog.Logger
 	store  sandbarrow.Store
@@ -31,24 +30,24 @@
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// refused is the mark of the last configuration refused with ErrReverts.
+	// refused is the watermark of the last configuration refused with ErrReverts.
 	refused  Mark
 	snapshot Snapshot
 }
 
-// NewFollower returns a follower that holds nothing yet.
+// NewFollower returns a follower without a configuration.
 func NewFollower(s sandbarrow.Store, logger *slog.Logger) *Follower {
 	return &Follower{changed: make(chan struct{}), logger: logger, store: s}
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Mark names the configuration in force; it is zero before the first.
+// Watermark identifies the configuration in force. It is zero before the first one.
 func (f *Follower) Mark() Mark {
 	v := f.view.Load()
 	if v == nil {
@@ -57,14 +56,14 @@
 	return Mark{Digest: v.Digest, Era: v.Era, Revision: v.Revision}
 }
 
-// MayLack reports whether the peer's configuration may be newer than the one in force.
+// MayLack reports whether a peer's configuration may be newer than the one in force.
 func (f *Follower) MayLack(peer Mark) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return peer != f.refused && peer.maySupersede(f.snapshot.mark())
+	return peer != f.refused && peer.maySupersede(f.snapshot.watermark())
 }
 
-// Offer puts a snapshot in force unless it is invalid or would revert.
+// Offer puts a snapshot in force unless it is invalid or older than the current one.
 func (f *Follower) Offer(s Snapshot) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,9 +73,9 @@
 		return nil
 	}
 	if same {
-		s.Shards = f.snapshot.Shards // rewritten after a restore of the store
+		s.Shards = f.snapshot.Shards // the same configuration, rewritten after a restore of the store
 	} else if !s.supersedes(f.snapshot) {
-		f.refused = s.mark()
+		f.refused = s.watermark()
 		return errors.Annotatef(ErrReverts, "revision %d era %d digest %.8s, in force is %d era %d digest %.8s",
 			s.Head.Revision, s.Era, s.Head.Digest, current.Revision, f.snapshot.Era, current.Digest)
 	}
@@ -99,7 +98,7 @@
 		began := time.Now()
 		item, err := f.store.Watch(ctx, HeadKey, seen)
 		if err == nil {
-			if err = f.take(ctx, item); err == nil || errors.Is(err, ErrInvalid) || errors.Is(err, ErrReverts) {
+			if err = f.applyHead(ctx, item); err == nil || errors.Is(err, ErrInvalid) || errors.Is(err, ErrReverts) {
 				seen = item.Revision
 			}
 		}
@@ -111,12 +110,12 @@
 			continue
 		}
 		f.logger.Warn("configuration not read", "error", err.Error())
-		pause.For(ctx, followPause/2+rand.N(followPause)-time.Since(began)) // a silent call has taken its time
+		pause.For(ctx, watchRetryDelay/2+rand.N(watchRetryDelay)-time.Since(began)) // a call that timed out has already waited
 	}
 	return nil
 }
 
-func (f *Follower) take(ctx context.Context, item sandbarrow.Item) error {
+func (f *Follower) applyHead(ctx context.Context, item sandbarrow.Item) error {
 	h, err := decodeHead(item.Value)
 	if err != nil {
 		return err
@@ -132,14 +131,14 @@
 	return f.Offer(s)
 }
 
-// Snapshot returns the configuration in force; it must not be changed.
+// Snapshot returns the configuration in force. Callers must not modify it.
 func (f *Follower) Snapshot() Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.snapshot
 }
 
-// View returns the configuration in force, or nil before the first.
+// View returns the configuration in force, or nil before the first one.
 func (f *Follower) View() *View {
 	return f.view.Load()
 }
--- a/config/silent_test.go
+++ b/config/hangingconnection_test.go
@@ -17,33 +17,33 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// silentFrom is how long after a silence the first of many processes may hear a change: it
-// tells the others.
-const silentFrom = 4 * time.Second
+// maxFirstObserverDelay bounds the time after an apply until the first of many processes has the change, while
+// all calls in flight to the store hang. The other processes would receive the change from that one.
+const maxFirstObserverDelay = 4 * time.Second
 
-func TestSilentStoreIsNoticed(t *testing.T) {
+func TestChangeIsSeenWhileConnectionsHang(t *testing.T) {
 	kv := standin.NewKV(standin.KVLimits{})
-	var lost atomic.Int32
+	var hangs atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		began := lost.Load()
-		answer := httptest.NewRecorder()
-		kv.ServeHTTP(answer, r)
-		if lost.Load() != began {
+		hangsBefore := hangs.Load()
+		response := httptest.NewRecorder()
+		kv.ServeHTTP(response, r)
+		if hangs.Load() != hangsBefore {
 			<-r.Context().Done()
 			return
 		}
-		for name, values := range answer.Header() {
+		for name, values := range response.Header() {
 			w.Header()[name] = values
 		}
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes()) // the test sees what was not written
+		w.WriteHeader(response.Code)
+		_, _ = w.Write(response.Body.Bytes()) // the test notices a failed write
 	}))
 	t.Cleanup(server.Close)
 	operator := store.NewHTTP(server.URL)
 	apply := func(n int) {
 		head, _, err := ReadHead(t.Context(), operator)
 		assert.NilError(t, err)
-		result, _, err := Apply(t.Context(), operator, document(n), head.Revision)
+		result, _, err := Apply(t.Context(), operator, distinctDocument(n), head.Revision)
 		assert.NilError(t, err)
 		assert.Equal(t, result, ApplyAccepted)
 	}
@@ -54,9 +54,9 @@
 	followers := make([]*Follower, 20)
 	for i := range followers {
 		followers[i] = NewFollower(store.NewHTTP(server.URL), slog.New(slog.DiscardHandler))
-		running.Go(func() { _ = followers[i].Run(ctx) }) // it ends with ctx
+		running.Go(func() { _ = followers[i].Run(ctx) }) // returns when ctx ends
 	}
-	known := func(revision uint64) (n int) {
+	followersAt := func(revision uint64) (n int) {
 		for _, f := range followers {
 			if uint64(f.Mark().Revision) >= revision {
 				n++
@@ -65,10 +65,10 @@
 		return n
 	}
 	apply(1)
-	await.Until(t, 10*time.Second, "the first configuration", func() bool { return known(1) == len(followers) })
-	lost.Add(1)
-	ended := time.Now()
+	await.Until(t, 10*time.Second, "the first configuration", func() bool { return followersAt(1) == len(followers) })
+	hangs.Add(1)
+	hangStart := time.Now()
 	apply(2)
-	await.Until(t, 20*time.Second, "the second configuration", func() bool { return known(2) > 0 })
-	assert.Assert(t, time.Since(ended) < silentFrom, "the first process knew it after %v", time.Since(ended))
+	await.Until(t, 20*time.Second, "the second configuration", func() bool { return followersAt(2) > 0 })
+	assert.Assert(t, time.Since(hangStart) < maxFirstObserverDelay, "the first process had the change only after %v", time.Since(hangStart))
 }
--- a/config/shards.go
+++ b/config/shards.go
@@ -9,45 +9,45 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// adapterShards is the number of shards that hold adapters. At 11,000
-// adapters each holds about 172, so that one change moves few bytes.
+// adapterShards is the number of shards that hold adapters. With 11,000 adapters each shard holds about 172 of
+// them. A change of one adapter then transfers only a small shard.
 const adapterShards = 64
 
-// HeadKey is the key of the head in the store.
+// HeadKey is the store key of the head.
 const HeadKey = "config/head"
 
-// historyLength is the number of earlier accepted changes that a head keeps.
+// historyLength is the maximum number of earlier changes in the history of a head.
 const historyLength = 20
 
-// ErrInvalid is the error of shards that do not make a valid document.
+// ErrInvalid means that a head, its shards or their document is not valid.
 const ErrInvalid = errors.ConstError("config: not valid")
 
-// Change is one accepted change in a head's history.
+// Change is one accepted change in the history of a head.
 type Change struct {
 	Digest   sandbarrow.Digest   `json:"digest"`
 	Revision sandbarrow.Revision `json:"revision"`
-	// Token is unique to the apply and settles lost replies.
+	// Token is unique to one apply. It shows whether the apply succeeded if the reply of the store was lost.
 	Token string `json:"token"`
 }
 
-// Head names the content of one accepted configuration.
+// Head identifies the content of one accepted configuration.
 type Head struct {
 	Change
 	// History holds earlier changes, newest first.
 	History []Change `json:"history,omitempty"`
-	// Shards are the digests of the shards: the common one, then adapters.
+	// Shards holds the digests of the shards: the common shard first, then the adapter shards.
 	Shards []sandbarrow.Digest `json:"shards"`
 }
 
-// Snapshot is a head with all its shards, as boxes hold and exchange it.
+// Snapshot is a head with all its shards. Boxes store and exchange configurations in this form.
 type Snapshot struct {
-	// Era is the store's era when the head was read.
+	// Era is the era of the store when the head was read.
 	Era    sandbarrow.StoreEra          `json:"era,omitempty"`
 	Head   Head                         `json:"head"`
 	Shards map[sandbarrow.Digest][]byte `json:"shards"`
 }
 
-func (s *Snapshot) mark() Mark {
+func (s *Snapshot) watermark() Mark {
 	return Mark{Digest: s.Head.Digest, Era: s.Era, Revision: s.Head.Revision}
 }
 
@@ -55,19 +55,19 @@
 	return "config/shards/" + string(d)
 }
 
-// split cuts a document into shards; the digests of a head are their order.
+// split divides a document into shards. The order of the shards is that of the digests in the head.
 func split(d *Document) (Snapshot, error) {
 	common := *d
 	common.Adapters = nil
-	parts := make([]Document, 1+adapterShards)
-	parts[0] = common
+	documents := make([]Document, 1+adapterShards)
+	documents[0] = common
 	for _, a := range d.Adapters {
 		i := 1 + xxhash.Sum64String(string(a.ID))%adapterShards
-		parts[i].Adapters = append(parts[i].Adapters, a)
+		documents[i].Adapters = append(documents[i].Adapters, a)
 	}
 	s := Snapshot{Shards: map[sandbarrow.Digest][]byte{}}
-	for i := range parts {
-		value, err := json.Marshal(&parts[i])
+	for i := range documents {
+		value, err := json.Marshal(&documents[i])
 		if err != nil {
 			return s, errors.Annotate(err, "config")
 		}
@@ -83,11 +83,11 @@
 }
 
 func headDigest(shards []sandbarrow.Digest) sandbarrow.Digest {
-	value, _ := json.Marshal(shards) // a list of texts always marshals
+	value, _ := json.Marshal(shards) // a list of strings always marshals
 	return sandbarrow.DigestOf(value)
 }
 
-// join makes the document from a snapshot and checks all digests.
+// join assembles the document from a snapshot and verifies all digests.
 func join(s Snapshot) (*Document, error) {
 	if headDigest(s.Head.Shards) != s.Head.Digest {
 		return nil, errors.Annotate(ErrInvalid, "head does not match its digest")
@@ -98,13 +98,13 @@
 		if !ok || sandbarrow.DigestOf(value) != digest {
 			return nil, errors.Annotatef(ErrInvalid, "shard %d is missing or does not match its digest", i)
 		}
-		var part Document
-		if err := json.Unmarshal(value, &part); err != nil {
+		var shard Document
+		if err := json.Unmarshal(value, &shard); err != nil {
 			return nil, errors.Annotatef(ErrInvalid, "shard %d: %v", i, err)
 		}
-		adapters := append(d.Adapters, part.Adapters...)
+		adapters := append(d.Adapters, shard.Adapters...)
 		if i == 0 {
-			*d = part
+			*d = shard
 		}
 		d.Adapters = adapters
 	}
--- a/config/storereturn_test.go
+++ b/config/storerestore_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestChangesAfterStoreRestoreComeIntoForce(t *testing.T) {
+func TestChangesAfterStoreRestoreAreApplied(t *testing.T) {
 	kv := standin.NewKV(standin.KVLimits{})
 	server := httptest.NewServer(kv)
 	t.Cleanup(server.Close)
@@ -57,7 +57,7 @@
 	apply := func(n int) {
 		head, _, err := ReadHead(t.Context(), operator)
 		assert.NilError(t, err)
-		result, _, err := Apply(t.Context(), operator, document(n), head.Revision)
+		result, _, err := Apply(t.Context(), operator, distinctDocument(n), head.Revision)
 		assert.NilError(t, err)
 		assert.Equal(t, result, ApplyAccepted)
 	}
@@ -67,11 +67,11 @@
 	t.Cleanup(stop)
 	start := func() *Follower {
 		f := NewFollower(store.NewHTTP(server.URL), slog.New(slog.DiscardHandler))
-		running.Go(func() { _ = f.Run(ctx) }) // ends with ctx
+		running.Go(func() { _ = f.Run(ctx) }) // returns when ctx ends
 		return f
 	}
 	inForce := func(f *Follower, n int) bool {
-		s, err := split(document(n))
+		s, err := split(distinctDocument(n))
 		assert.NilError(t, err)
 		return f.Mark().Digest == s.Head.Digest
 	}
@@ -88,8 +88,8 @@
 	await.Until(t, 2*time.Second, "the restored copy at a new follower", func() bool { return inForce(fresh, 1) })
 	assert.Assert(t, inForce(f, 3), "the restored copy replaced the third configuration")
 	assert.Assert(t, fresh.MayLack(f.Mark()) && fresh.Offer(f.Snapshot()) == nil)
-	assert.Assert(t, inForce(fresh, 3), "not learned from the peer")
+	assert.Assert(t, inForce(fresh, 3), "not applied from the peer")
 	apply(4)
 	await.Until(t, 2*time.Second, "a change after the restore", func() bool { return inForce(f, 4) && inForce(fresh, 4) })
-	assert.Equal(t, f.Mark().Revision, sandbarrow.Revision(2), "the revision is assigned a second time")
+	assert.Equal(t, f.Mark().Revision, sandbarrow.Revision(2), "the restored store must assign the revision a second time")
 }
--- a/config/follows.go
+++ b/config/supersede.go
@@ -3,8 +3,8 @@
 import "sandbarrow.example/sandbarrow"
 
 // supersedes reports whether a configuration replaces another one. Within an era of the store the higher
-// revision wins. A restored store assigns revisions again, so across eras the configuration of the later
-// era wins, unless the history shows that the other one was applied after it.
+// revision wins. A restored store assigns the same revisions again. Across eras the configuration of the later
+// era therefore wins, unless the history shows that the other one was applied after it.
 func (s Snapshot) supersedes(other Snapshot) bool {
 	switch {
 	case other.Head.Revision == 0:
@@ -20,8 +20,8 @@
 	}
 }
 
-// appliedAfter reports whether the head was applied after a change: its history contains the change, or is
-// full and begins after it.
+// appliedAfter reports whether the head was applied after a change. This is the case if its history contains
+// the change, or if the history is full and begins after the change.
 func (h *Head) appliedAfter(c Change) bool {
 	oldest := h.Revision
 	for _, past := range h.History {
@@ -33,16 +33,16 @@
 	return c.Revision < oldest && len(h.History) >= historyLength
 }
 
-// Mark identifies a configuration; peers exchange it in place of the whole one.
+// Watermark identifies a configuration. Peers exchange it instead of the complete configuration.
 type Mark struct {
 	Digest sandbarrow.Digest `json:"digest"`
-	// Era is the store's era when the configuration was read.
+	// Era is the era of the store when the configuration was read.
 	Era      sandbarrow.StoreEra `json:"era,omitempty"`
 	Revision sandbarrow.Revision `json:"revision"`
 }
 
-// maySupersede reports whether the configuration of a mark may replace that of another one. Across eras
-// only supersedes, which needs both heads, decides.
+// maySupersede reports whether the configuration of a watermark may replace that of another one. Across eras
+// watermarks are not enough to decide which one is newer; supersedes decides it from both heads.
 func (m Mark) maySupersede(other Mark) bool {
 	if m.Era == other.Era {
 		return m.Revision > other.Revision
--- a/config/versions.go
+++ b/config/versions.go
@@ -9,69 +9,67 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// ErrVersionChanged is the error of a document that gives a version other weights than
-// the configuration in force.
+// ErrVersionChanged means that a document changes the weights of a version in the configuration in force.
 const ErrVersionChanged = errors.ConstError("config: a version's weights must not change")
 
-// checkVersions refuses a snapshot that gives a version of the current head other
-// weights. Engines, agents and answers know weights by adapter and version alone, so that
-// a name must never get another content. The swap of the head at the revision that was
-// compared makes it hold for racing operators too. Followers do not check it: what was
-// accepted must be in force.
+// checkVersions refuses a snapshot that changes the weights of a version in the current head. Engines, agents
+// and responses identify weights by adapter and version alone; the content behind such a name must never change.
+// The rule also holds for concurrent operators, because the head is swapped at the revision that was compared.
+// Followers don't check it: an accepted configuration must come into force.
 func checkVersions(ctx context.Context, s sandbarrow.Store, current Head, next Snapshot) error {
 	before := map[sandbarrow.ModelRef]string{}
 	for _, digest := range changedShards(current, next.Head) {
-		part, err := readShard(ctx, s, digest)
+		shard, err := readShard(ctx, s, digest)
 		if err != nil {
 			return err
 		}
-		addWeights(before, part.Adapters)
+		addWeights(before, shard.Adapters)
 	}
 	for _, value := range next.Shards {
-		var part Document
-		if err := json.Unmarshal(value, &part); err != nil {
+		var shard Document
+		if err := json.Unmarshal(value, &shard); err != nil {
 			return errors.Annotatef(ErrInvalid, "shard: %v", err)
 		}
-		if err := compareWeights(before, part.Adapters); err != nil {
+		if err := compareWeights(before, shard.Adapters); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// changedShards lists the shards of a head that the next one does not hold.
+// changedShards returns the shards of the current head that the next one does not contain.
 func changedShards(current, next Head) []sandbarrow.Digest {
-	kept := map[sandbarrow.Digest]bool{}
+	inNext := map[sandbarrow.Digest]bool{}
 	for _, digest := range next.Shards {
-		kept[digest] = true
+		inNext[digest] = true
 	}
 	var changed []sandbarrow.Digest
 	for _, digest := range current.Shards {
-		if !kept[digest] {
+		if !inNext[digest] {
 			changed = append(changed, digest)
 		}
 	}
 	return changed
 }
 
-// readShard reads one shard; one that does not match its digest can't be compared.
+// readShard reads one shard in force. It fails if the shard does not match its digest.
 func readShard(ctx context.Context, s sandbarrow.Store, digest sandbarrow.Digest) (Document, error) {
-	var part Document
+	var shard Document
 	var item sandbarrow.Item
-	err := retried(ctx, func() (err error) {
+	err := withRetry(ctx, func() (err error) {
 		item, err = s.Get(ctx, shardKey(digest))
 		return err
 	})
 	if err != nil {
-		return part, errors.Annotatef(err, "shard %.12s in force", digest)
+		return shard, errors.Annotatef(err, "shard %.12s in force", digest)
 	}
 	if sandbarrow.DigestOf(item.Value) != digest {
-		return part, errors.Annotatef(ErrInvalid, "shard %.12s in force does not match its digest", digest)
+		return shard, errors.Annotatef(ErrInvalid, "shard %.12s in force does not match its digest", digest)
 	}
-	if err := json.Unmarshal(item.Value, &part); err != nil {
-		return part, errors.Annotatef(ErrInvalid, "shard %.12s in force: %v", digest, err)
+	if err := json.Unmarshal(item.Value, &shard); err != nil {
+		return shard, errors.Annotatef(ErrInvalid, "shard %.12s in force: %v", digest, err)
 	}
-	return part, nil
+	return shard, nil
 }
 
 func addWeights(weights map[sandbarrow.ModelRef]string, adapters []Adapter) {
--- a/config/view.go
+++ b/config/view.go
@@ -10,18 +10,18 @@
 	"sandbarrow.example/sandbarrow/policy"
 )
 
-// rolloutBuckets is the number of parts that callers are cut into for rollouts.
+// rolloutBuckets is the number of buckets into which callers are hashed for rollouts.
 const rolloutBuckets = 100
 
 // The errors of a View.
 const (
 	// ErrUnknownCaller means that no caller has the key.
 	ErrUnknownCaller = errors.ConstError("config: unknown caller")
-	// ErrUnknownModel means that no adapter or version has the name.
+	// ErrUnknownModel means that no adapter or version has the requested name.
 	ErrUnknownModel = errors.ConstError("config: unknown model")
 )
 
-// Resolution is what one revision says of one request.
+// Resolution is the result of resolving one request against one revision of the configuration.
 type Resolution struct {
 	BaseModel sandbarrow.BaseModelID
 	Class     *Class
@@ -32,7 +32,7 @@
 	Weights   string
 }
 
-// View is one accepted configuration, compiled for look-ups. It is immutable.
+// View is one accepted configuration, compiled for lookups. It is immutable.
 type View struct {
 	Digest   sandbarrow.Digest
 	Document *Document
@@ -45,13 +45,13 @@
 	policies map[sandbarrow.PolicyID]*policy.Policy
 }
 
-// NewView checks and compiles a snapshot.
+// NewView validates and compiles a snapshot.
 func NewView(s Snapshot) (*View, error) {
 	d, err := join(s)
 	if err != nil {
 		return nil, err
 	}
-	c := newChecker(bareReporter{})
+	c := newChecker(plainReporter{})
 	c.document(d)
 	if len(c.problems) > 0 {
 		return nil, errors.Annotate(ErrInvalid, c.problems.Error())
@@ -83,7 +83,7 @@
 	return v, nil
 }
 
-// Caller finds the caller that has a bearer key.
+// Caller returns the caller with a bearer key, and its class.
 func (v *View) Caller(key string) (*Caller, *Class, error) {
 	c, ok := v.callers[sandbarrow.DigestOf([]byte(key))]
 	if !ok {
@@ -92,7 +92,7 @@
 	return c, v.classes[c.Class], nil
 }
 
-// Place says whether a policy lets an upstream serve a class.
+// PermitsUpstream reports whether a policy permits an upstream to serve a class.
 func (v *View) Place(id sandbarrow.PolicyID, class sandbarrow.CallerClass, u policy.Upstream) (bool, error) {
 	p, ok := v.policies[id]
 	if !ok {
@@ -101,11 +101,11 @@
 	return p.Place(class, u)
 }
 
-// Resolve names adapter, version, priority and repeatability of a request.
-// The model is an adapter, whose policy names the version, or adapter@version,
-// which the policy must name too.
-func (v *View) Resolve(c *Caller, model string, marked bool) (Resolution, error) {
-	name, asked, pinned := strings.Cut(model, "@")
+// Resolve determines the adapter, version and priority of a request, and whether it runs at most once. The
+// model is either the name of an adapter, whose policy selects the version, or adapter@version. In the latter
+// case the policy must select the same version.
+func (v *View) Resolve(c *Caller, model string, atMostOnce bool) (Resolution, error) {
+	name, requestedVersion, pinned := strings.Cut(model, "@")
 	a, ok := v.adapters[sandbarrow.AdapterID(name)]
 	if !ok {
 		return Resolution{}, errors.Annotatef(ErrUnknownModel, "model %q", model)
@@ -117,18 +117,18 @@
 		Class:    c.Class,
 		ClassPri: class.Priority,
 		Latest:   a.Versions[len(a.Versions)-1].ID,
-		Marked:   marked,
+		Marked:   atMostOnce,
 		Percent:  int(xxhash.Sum64String(string(c.ID)+"\x00"+string(a.ID)) % rolloutBuckets),
 	}
 	p, ok := v.policies[a.Policy]
 	if !ok {
 		p = &policy.Policy{}
 	}
-	return v.run(p, r, a, class, asked, pinned)
+	return v.runPolicy(p, r, a, class, requestedVersion, pinned)
 }
 
-func (v *View) run(p *policy.Policy, r *policy.Request, a *Adapter, class *Class, asked string, pinned bool) (Resolution, error) {
-	once, err := p.Once(r)
+func (v *View) runPolicy(p *policy.Policy, r *policy.Request, a *Adapter, class *Class, requestedVersion string, pinned bool) (Resolution, error) {
+	atMostOnce, err := p.Once(r)
 	if err != nil {
 		return Resolution{}, err
 	}
@@ -140,8 +140,8 @@
 	if err != nil {
 		return Resolution{}, err
 	}
-	if pinned && sandbarrow.VersionID(asked) != version {
-		return Resolution{}, errors.Annotatef(ErrUnknownModel, "model %s@%s: the policy names version %s", a.ID, asked, version)
+	if pinned && sandbarrow.VersionID(requestedVersion) != version {
+		return Resolution{}, errors.Annotatef(ErrUnknownModel, "model %s@%s: the policy names version %s", a.ID, requestedVersion, version)
 	}
 	for _, candidate := range a.Versions {
 		if candidate.ID == version {
@@ -149,7 +149,7 @@
 				BaseModel: a.BaseModel,
 				Class:     class,
 				Model:     sandbarrow.ModelRef{Adapter: a.ID, Version: version},
-				Once:      once,
+				Once:      atMostOnce,
 				Policy:    a.Policy,
 				Priority:  priority,
 				Weights:   candidate.Weights,
@@ -159,7 +159,7 @@
 	return Resolution{}, errors.Annotatef(ErrUnknownModel, "policy %s names version %q, which adapter %s lacks", a.Policy, version, a.ID)
 }
 
-// Service finds the plain service of a path.
+// Service returns the plain service of a path.
 func (v *View) Service(path string) (*Service, bool) {
 	for i := range v.Document.Services {
 		s := &v.Document.Services[i]
--- a/estate/confirm_test.go
+++ b/estate/confirm_test.go
@@ -15,23 +15,23 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-// reader is a store of one key.
-type reader struct {
+// fakeReader is a store with one key.
+type fakeReader struct {
 	err  error
 	item sandbarrow.Item
 }
 
-func (r *reader) Get(context.Context, string) (sandbarrow.Item, error) { return r.item, r.err }
+func (r *fakeReader) Get(context.Context, string) (sandbarrow.Item, error) { return r.item, r.err }
 
 func TestConfirmFrom(t *testing.T) {
 	e := newEstate()
-	r := &reader{item: sandbarrow.Item{Revision: 3, Value: []byte("7")}}
+	r := &fakeReader{item: sandbarrow.Item{Revision: 3, Value: []byte("7")}}
 	before := boottime.Now()
 	assert.NilError(t, e.ConfirmFrom(t.Context(), r))
 	confirmed, table := e.Confirmed()
 	assert.Assert(t, !confirmed.Before(before) && !confirmed.After(boottime.Now()))
 	assert.Equal(t, table, sandbarrow.StoreRevision(3))
-	assert.Equal(t, e.View().Table.Version, uint64(7), "what is read is put in force")
+	assert.Equal(t, e.View().Table.Version, uint64(7), "the table that was read is not in force")
 	r.err = errors.New("down")
 	assert.Assert(t, e.ConfirmFrom(t.Context(), r) != nil)
 	again, _ := e.Confirmed()
@@ -41,156 +41,155 @@
 func TestMalformedTableIsNotConfirmed(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{table(1, "4")}, 1)
-	assert.NilError(t, e.ConfirmFrom(t.Context(), &reader{item: sandbarrow.Item{Revision: 2, Value: []byte("rubbish")}}))
+	assert.NilError(t, e.ConfirmFrom(t.Context(), &fakeReader{item: sandbarrow.Item{Revision: 2, Value: []byte("rubbish")}}))
 	confirmed, _ := e.Confirmed()
 	assert.Assert(t, confirmed.IsZero())
 }
 
-// The rules that a confirmation rests on; each is broken in turn.
-type broken string
+// The rules that make confirmations safe. Tests break one at a time to check that the simulation detects it.
+type brokenRule string
 
 const (
-	nothingBroken broken = ""
-	fromAnswer    broken = "counted from the answer"
-	anyTable      broken = "whatever table is in force"
+	noRuleBroken    brokenRule = ""
+	ageFromReceipt  brokenRule = "age counted from the receipt of the response"
+	ignoresRevision brokenRule = "revision of the confirmed table ignored"
 )
 
-// answer is a message on its way: what a store or a process knew when it answered.
-type answer struct {
-	asked, confirmed time.Time
-	at               time.Time
-	fresh            bool
-	table            sandbarrow.StoreRevision
-	to               int
-	// withItem says that the table itself comes with the answer.
+// response is a message in flight: the state of the store or of a peer when it responded.
+type response struct {
+	requestedAt, confirmed time.Time
+	sentAt                 time.Time
+	hasConfirmation        bool
+	table                  sandbarrow.StoreRevision
+	to                     int
+	// withItem says that the response carries the table.
 	withItem bool
 }
 
-// trustWorld is some processes that ask the store and each other, whose answers are held
-// up, lost and reordered, and an operator who writes tables.
-type trustWorld struct {
-	answers   []answer
+// trustSimulation simulates an operator who writes tables, and processes that query the store and each other.
+// Responses are delayed, lost and reordered.
+type trustSimulation struct {
+	responses []response
 	now       time.Time
 	processes [4]*Estate
-	rule      broken
-	// written holds when each table was written, by revision from 1.
+	rule      brokenRule
+	// written holds the time at which each table was written; revision 1 is at index 0.
 	written []time.Time
 }
 
 const trustBound = 5 * time.Second
 
-func (w *trustWorld) newest() sandbarrow.StoreRevision {
-	return sandbarrow.StoreRevision(len(w.written))
+func (s *trustSimulation) newest() sandbarrow.StoreRevision {
+	return sandbarrow.StoreRevision(len(s.written))
 }
 
-func (w *trustWorld) askStore(from int, withItem bool) {
-	w.answers = append(w.answers, answer{asked: w.now, confirmed: w.now, at: w.now, fresh: true, table: w.newest(), to: from, withItem: withItem})
+func (s *trustSimulation) queryStore(from int, withItem bool) {
+	s.responses = append(s.responses, response{requestedAt: s.now, confirmed: s.now, sentAt: s.now, hasConfirmation: true, table: s.newest(), to: from, withItem: withItem})
 }
 
-func (w *trustWorld) askPeer(from, to int, withItem bool) {
-	confirmed, table := w.processes[to].Confirmed()
-	w.answers = append(w.answers, answer{asked: w.now, confirmed: confirmed, at: w.now, fresh: !confirmed.IsZero(), table: table, to: from, withItem: withItem})
+func (s *trustSimulation) queryPeer(from, to int, withItem bool) {
+	confirmed, table := s.processes[to].Confirmed()
+	s.responses = append(s.responses, response{requestedAt: s.now, confirmed: confirmed, sentAt: s.now, hasConfirmation: !confirmed.IsZero(), table: table, to: from, withItem: withItem})
 }
 
-func (w *trustWorld) deliver(i int) {
-	a := w.answers[i]
-	w.answers = append(w.answers[:i], w.answers[i+1:]...)
-	e := w.processes[a.to]
+func (s *trustSimulation) deliver(i int) {
+	a := s.responses[i]
+	s.responses = append(s.responses[:i], s.responses[i+1:]...)
+	e := s.processes[a.to]
 	if a.withItem && a.table > 0 {
 		e.Update([]sandbarrow.KeyItem{table(a.table, strconv.Itoa(int(a.table)))}, 0)
 	}
-	if !a.fresh {
+	if !a.hasConfirmation {
 		return
 	}
-	age := a.at.Sub(a.confirmed)
-	from := a.asked
-	if w.rule == fromAnswer {
-		from = w.now
+	age := a.sentAt.Sub(a.confirmed)
+	from := a.requestedAt
+	if s.rule == ageFromReceipt {
+		from = s.now
 	}
-	if w.rule == anyTable {
+	if s.rule == ignoresRevision {
 		a.table = 0
 	}
 	e.Confirm(from.Add(-age), a.table)
 }
 
-// violation finds a process that trusts a table which was replaced longer ago than the
-// bound allows.
-func (w *trustWorld) violation() string {
-	for i, e := range w.processes {
+// violation describes a process that still trusts a table replaced more than trustBound ago.
+func (s *trustSimulation) violation() string {
+	for i, e := range s.processes {
 		confirmed, table := e.Confirmed()
-		if confirmed.IsZero() || w.now.Sub(confirmed) >= trustBound || int(table) >= len(w.written) {
+		if confirmed.IsZero() || s.now.Sub(confirmed) >= trustBound || int(table) >= len(s.written) {
 			continue
 		}
-		if replaced := w.written[table]; w.now.Sub(replaced) > trustBound {
-			return fmt.Sprintf("process %d trusts table %d, replaced %v ago", i, table, w.now.Sub(replaced))
+		if replaced := s.written[table]; s.now.Sub(replaced) > trustBound {
+			return fmt.Sprintf("process %d trusts table %d, replaced %v ago", i, table, s.now.Sub(replaced))
 		}
 	}
 	return ""
 }
 
-func runTrust(rule broken, seed uint64) (violation string, trusted int) {
+func simulateTrust(rule brokenRule, seed uint64) (violation string, trusted int) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	w := &trustWorld{now: time.Unix(1000, 0), rule: rule}
-	for i := range w.processes {
-		w.processes[i] = newEstate()
+	s := &trustSimulation{now: time.Unix(1000, 0), rule: rule}
+	for i := range s.processes {
+		s.processes[i] = newEstate()
 	}
 	slow := r.Float64()
 	for range 400 {
-		w.now = w.now.Add(time.Duration(r.IntN(400)) * time.Millisecond)
-		switch p := r.IntN(len(w.processes)); r.IntN(10) {
+		s.now = s.now.Add(time.Duration(r.IntN(400)) * time.Millisecond)
+		switch p := r.IntN(len(s.processes)); r.IntN(10) {
 		case 0:
-			w.written = append(w.written, w.now)
+			s.written = append(s.written, s.now)
 		case 1:
 			if r.Float64() < 0.1 {
-				w.processes[p] = newEstate() // killed and started again
+				s.processes[p] = newEstate() // the process is killed and restarted
 			}
 		case 2, 3:
-			w.askStore(p, r.Float64() < 0.7)
+			s.queryStore(p, r.Float64() < 0.7)
 		default:
-			w.askPeer(p, r.IntN(len(w.processes)), r.Float64() < 0.7)
+			s.queryPeer(p, r.IntN(len(s.processes)), r.Float64() < 0.7)
 		}
-		for i := 0; i < len(w.answers); {
+		for i := 0; i < len(s.responses); {
 			switch {
 			case r.Float64() > slow:
-				w.deliver(i)
+				s.deliver(i)
 			case r.Float64() < 0.05:
-				w.answers = append(w.answers[:i], w.answers[i+1:]...)
+				s.responses = append(s.responses[:i], s.responses[i+1:]...)
 			default:
 				i++
 			}
 		}
-		for _, e := range w.processes {
-			if confirmed, _ := e.Confirmed(); w.now.Sub(confirmed) < trustBound {
+		for _, e := range s.processes {
+			if confirmed, _ := e.Confirmed(); s.now.Sub(confirmed) < trustBound {
 				trusted++
 			}
 		}
-		if v := w.violation(); v != "" {
+		if v := s.violation(); v != "" {
 			return v, trusted
 		}
 	}
 	return "", trusted
 }
 
-func TestNoTableIsTrustedAfterItsBound(t *testing.T) {
+func TestReplacedTableIsNotTrustedPastBound(t *testing.T) {
 	trusted := 0
 	for seed := range uint64(500) {
-		v, n := runTrust(nothingBroken, seed)
+		v, n := simulateTrust(noRuleBroken, seed)
 		assert.Equal(t, v, "", "seed %d", seed)
 		trusted += n
 	}
-	assert.Assert(t, trusted > 100_000, "%d: what is never trusted shows nothing", trusted)
+	assert.Assert(t, trusted > 100_000, "trusted only %d times; too few for the test to prove anything", trusted)
 }
 
-// Each rule that is left out is found.
-func TestEachTrustRuleIsNeeded(t *testing.T) {
-	for _, rule := range []broken{fromAnswer, anyTable} {
+// Without any one of the rules the simulation must find a violation.
+func TestEachConfirmationRuleIsNeeded(t *testing.T) {
+	for _, rule := range []brokenRule{ageFromReceipt, ignoresRevision} {
 		found := 0
 		for seed := range uint64(500) {
-			if v, _ := runTrust(rule, seed); v != "" {
+			if v, _ := simulateTrust(rule, seed); v != "" {
 				found++
 			}
 		}
-		t.Logf("%s: found in %d of 500 runs", rule, found)
-		assert.Assert(t, found > 0, "%s: not found", rule)
+		t.Logf("%s: violation found in %d of 500 runs", rule, found)
+		assert.Assert(t, found > 0, "%s: no violation found", rule)
 	}
 }
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -1,9 +1,9 @@
-// Package estate follows the operators' state: the table of routes and the named
-// versions of adapters. It owns this process's view of it, which comes from the
-// platform's store and from peers, is merged by the store's revision of each key, across
-// eras of the store by the operators' version, and never goes back. It relies on
-// Documents to translate the operators' keys; gateways and controllers use it. All its
-// methods are safe for concurrent use.
+// Package estate follows the operators' state: the table of routes and the named versions of adapters.
+//
+// Gateways and controllers use it to keep their view of this state. Changes come from the platform's store
+// and from peers. Within one era of the store, the higher revision of a key wins. Across eras, the higher
+// version given by the operators wins. An older state never replaces a newer one. Documents parses the
+// operators' keys. All methods are safe for concurrent use.
 package estate
 
 import (
@@ -22,37 +22,37 @@
 	"sandbarrow.example/sandbarrow/route"
 )
 
-// Documents translates the operators' keys.
+// Documents parses the operators' keys.
 type Documents interface {
 	// IsTable reports whether a key holds the table of routes.
 	IsTable(key string) bool
-	// Prefix is the prefix of the operators' keys.
+	// Prefix returns the prefix of the operators' keys.
 	Prefix() string
-	// TableKey is the key that holds the table of routes.
+	// TableKey returns the key that holds the table of routes.
 	TableKey() string
-	// Table reads the table of routes.
+	// Table parses the table of routes.
 	Table(text []byte) (*route.Table, error)
-	// Version reads a key that names an adapter version. ErrOtherKey means that the
-	// key names none, another error that its value is malformed.
+	// Version parses a key that names an adapter version. It returns ErrOtherKey if the key is of another
+	// kind, and another error if the value is malformed.
 	Version(item sandbarrow.KeyItem) (key sandbarrow.AdapterKey, v sandbarrow.AdapterVersion, err error)
 }
 
 // ErrOtherKey means that a key does not name an adapter version.
 const ErrOtherKey = errors.ConstError("estate: key names no adapter version")
 
-// View is an immutable state of the estate.
+// View is an immutable snapshot of the operators' state.
 type View struct {
-	// At is when the table came into force here.
+	// InForceSince is when this process applied the table.
 	At time.Time
-	// Revision is the store's revision of the table.
+	// Revision is the store revision of the table.
 	Revision sandbarrow.StoreRevision
 	Table    *route.Table
 	versions map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion
 }
 
-// LeastVersion returns the least version of an adapter that may run a request: the newest
-// named one, or 0 where none is named or the state is not known yet (v is nil). A named
-// version of a base model binds no request: engines run the one that they loaded.
+// MinVersion returns the lowest adapter version that may run a request. This is the newest named version, or 0
+// if none is named or no state is known yet (v is nil). It is 0 for base models: engines keep running the base
+// model version that they have loaded.
 func (v *View) LeastVersion(key sandbarrow.AdapterKey) sandbarrow.AdapterVersion {
 	if v == nil || key.Adapter == "" {
 		return 0
@@ -60,34 +60,34 @@
 	return v.Version(key)
 }
 
-// Version returns the newest named version of an adapter, or 0.
+// Version returns the newest named version of an adapter, or 0 if none is named.
 func (v *View) Version(key sandbarrow.AdapterKey) sandbarrow.AdapterVersion {
 	return v.versions[key]
 }
 
-// Estate holds the newest state that this process knows.
+// Estate holds the newest operators' state known to this process.
 type Estate struct {
 	documents Documents
 	logger    *slog.Logger
 	view      atomic.Pointer[View]
 
-	// Fetching is held while changes are fetched from a peer, so that a change
-	// which many peers announce is fetched from one.
+	// Fetching is held while changes are fetched from a peer. If many peers publish the same change, it is
+	// fetched from only one of them.
 	Fetching sync.Mutex
 
 	mu sync.Mutex
-	// answered is when the store last answered this process about this state.
-	answered     time.Time
+	// lastResponse is when this process last received a response from the store about this state.
+	lastResponse time.Time
 	changed      chan struct{}
 	confirmation confirmation
 	items        map[string]sandbarrow.KeyItem
-	// latest has all items applied. It is apart from view, which stays nil until there is
-	// a table, so that a version named before that is not lost.
-	latest View
-	mark   Mark
+	// latest is the state with all items applied. view stays nil until there is a table; latest also keeps
+	// the versions that were named before that.
+	latest    View
+	watermark Mark
 }
 
-// New returns an estate that knows nothing yet.
+// New returns an estate without any state.
 func New(d Documents, logger *slog.Logger) *Estate {
 	return &Estate{
 		changed: make(chan struct{}), documents: d, items: map[string]sandbarrow.KeyItem{}, logger: logger,
@@ -100,16 +100,16 @@
 	return e.view.Load()
 }
 
-// Mark returns up to which revisions this estate is complete, and a channel that closes
-// at its next change.
+// Watermark returns the revisions up to which this estate is complete, and a channel that is closed at the
+// next change.
 func (e *Estate) Mark() (Mark, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.mark, e.changed
+	return e.watermark, e.changed
 }
 
-// Since returns the items that a peer with the given mark may lack, and the mark up to
-// which they make it complete.
+// Since returns the items that a peer with the given watermark may lack. With them the peer is complete up to
+// the returned watermark.
 func (e *Estate) Since(known Mark) ([]sandbarrow.KeyItem, Mark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,39 +120,38 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b sandbarrow.KeyItem) int { return cmp.Compare(a.Revision, b.Revision) })
-	return items, e.mark
+	return items, e.watermark
 }
 
-// Answered is when the store last answered this process about the operators' state, be it
-// that nothing has changed; zero where it never did.
+// LastStoreResponse returns when the store last responded about the operators' state, including responses
+// without changes. It is zero if there was no response yet.
 func (e *Estate) Answered() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.answered
+	return e.lastResponse
 }
 
-// Learn applies changes that a peer has sent and the mark up to which they are complete.
-func (e *Estate) Learn(items []sandbarrow.KeyItem, mark Mark) {
+// ApplyPeerChange applies changes sent by a peer, which are complete up to the given watermark.
+func (e *Estate) Learn(items []sandbarrow.KeyItem, watermark Mark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.merge(fromPeer, items, mark)
+	e.merge(fromPeer, items, watermark)
 }
 
-// Replace applies the whole prefix, as the store has it.
+// Replace applies a complete read of the prefix from the store.
 func (e *Estate) Replace(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) {
 	e.Update(items, at)
 }
 
-// Update applies changes that the store has sent and the revision up to which they are
-// complete.
+// Update applies changes sent by the store, which are complete up to the given revision.
 func (e *Estate) Update(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answered = time.Now()
+	e.lastResponse = time.Now()
 	e.merge(fromStore, items, Mark{Revision: at})
 }
 
-// source says who has sent a change, for log lines.
+// source is the sender of a change, for log lines.
 type source string
 
 const (
@@ -160,14 +159,14 @@
 	fromStore source = "store"
 )
 
-// merge keeps what is newer than what is known. The caller holds mu.
-func (e *Estate) merge(from source, items []sandbarrow.KeyItem, mark Mark) {
-	e.confirmation.observeEra(mark.Revision, items)
+// merge applies the items that are newer than the known ones. The caller holds mu.
+func (e *Estate) merge(from source, items []sandbarrow.KeyItem, watermark Mark) {
+	e.confirmation.observeEra(watermark.Revision, items)
 	var changed []sandbarrow.KeyItem
 	for _, it := range items {
 		known, exists := e.items[it.Key]
 		switch {
-		case it.Gone: // a removed key keeps its last meaning: nothing goes back
+		case it.Gone: // a deleted key keeps its last value, since an older state must never return
 		case exists && !e.supersedes(it, known):
 			e.ignoreOlder(from, it, known)
 		default:
@@ -175,7 +174,7 @@
 			changed = append(changed, it)
 		}
 	}
-	e.mark = e.mark.merge(mark)
+	e.watermark = e.watermark.merge(watermark)
 	if len(changed) == 0 {
 		return
 	}
@@ -184,9 +183,9 @@
 	e.changed = make(chan struct{})
 }
 
-// supersedes reports whether an item replaces the known one of its key. Within an era of
-// the store the higher revision wins. Across eras the operators' own version decides,
-// since the store may have been restored from a copy older than what is known.
+// supersedes reports whether an item replaces the known one of its key. Within an era of the store the higher
+// revision wins. Across eras the operators' own version decides, because the store may have been restored from
+// a copy that is older than the known state.
 func (e *Estate) supersedes(it, known sandbarrow.KeyItem) bool {
 	if it.Revision.Era() == known.Revision.Era() {
 		return it.Revision > known.Revision
@@ -198,13 +197,12 @@
 	}
 	knownVersion, err := e.versionOf(known)
 	if err != nil {
-		return true // the known one was refused
+		return true // the known item is malformed and was never applied
 	}
 	return version > knownVersion || version == knownVersion && it.Revision > known.Revision
 }
 
-// versionOf returns the version that the operators gave an item, or 0 for a key without
-// versions.
+// versionOf returns the version that the operators gave an item, or 0 for a key without versions.
 func (e *Estate) versionOf(it sandbarrow.KeyItem) (uint64, error) {
 	_, version, err := e.documents.Version(it)
 	if !errors.Is(err, ErrOtherKey) {
@@ -220,8 +218,8 @@
 	return table.Version, nil
 }
 
-// ignoreOlder logs an item that does not replace the known one and, if that is the table
-// in force, records that the item is no newer. The caller holds mu.
+// ignoreOlder logs an item that does not replace the known one. If the known one is the table in force, it also
+// records that the item is no newer. The caller holds mu.
 func (e *Estate) ignoreOlder(from source, it, known sandbarrow.KeyItem) {
 	if bytes.Equal(it.Value, known.Value) {
 		return
@@ -232,8 +230,8 @@
 	}
 }
 
-// compile puts new items in force, if there is a table. A malformed one keeps the last good
-// one. The caller holds mu.
+// compile applies new items to the latest state, and publishes it as the view if there is a table. A malformed
+// item leaves the last valid one in force. The caller holds mu.
 func (e *Estate) compile(from source, items []sandbarrow.KeyItem) {
 	next := e.latest
 	next.versions = map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion{}
@@ -247,14 +245,14 @@
 	}
 }
 
-// apply puts one item in force: a named version where it is newer, or the table.
+// apply applies one item to next: the table, or a named version if it is newer.
 func (e *Estate) apply(next *View, from source, it sandbarrow.KeyItem) {
 	key, version, err := e.documents.Version(it)
 	switch {
 	case err == nil:
 		if version > next.versions[key] {
 			next.versions[key] = version
-			e.logNamed(key, version, it.Revision)
+			e.logNamedVersion(key, version, it.Revision)
 		}
 		return
 	case !errors.Is(err, ErrOtherKey):
@@ -275,7 +273,7 @@
 	}
 	e.confirmation.addNotNewer(it.Revision)
 	if it.Revision < next.Revision {
-		e.confirmation.invalidate(e.mark)
+		e.confirmation.invalidate(e.watermark)
 	}
 	if sameEra || table.Version > next.Table.Version {
 		next.At = time.Now()
@@ -284,11 +282,11 @@
 	e.logger.Info("configuration in force", "version", table.Version, "revision", it.Revision, "from", string(from))
 }
 
-// logNamed writes a line for a version that is in force now.
-func (e *Estate) logNamed(key sandbarrow.AdapterKey, v sandbarrow.AdapterVersion, at sandbarrow.StoreRevision) {
+// logNamedVersion logs a named version that has come into force.
+func (e *Estate) logNamedVersion(key sandbarrow.AdapterKey, v sandbarrow.AdapterVersion, at sandbarrow.StoreRevision) {
 	if key.Adapter == "" {
-		// Engines that run keep the weights that they have: only those that load the model
-		// from now on differ.
+		// Running engines keep the weights that they have loaded. Only engines that load the model from now on
+		// use this version.
 		e.logger.Info("base model version named", "model", string(key.Model), "model_version", uint64(v), "revision", at)
 		return
 	}
--- a/estate/estate_test.go
+++ b/estate/estate_test.go
@@ -14,7 +14,7 @@
 	"sandbarrow.example/sandbarrow/route"
 )
 
-// documents reads tables whose text is their version, and versions of one adapter.
+// documents parses tables whose text is their version. Every other key names an adapter version.
 type documents struct{}
 
 func (documents) IsTable(key string) bool { return key == "table" }
@@ -41,7 +41,7 @@
 	return sandbarrow.KeyItem{Key: "table", Revision: revision, Value: []byte(text)}
 }
 
-func TestMalformedTableKeepsTheLast(t *testing.T) {
+func TestMalformedTableKeepsPreviousTable(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{table(1, "4")}, 1)
 	e.Update([]sandbarrow.KeyItem{table(2, "rubbish")}, 2)
@@ -50,13 +50,13 @@
 	assert.Equal(t, e.View().Table.Version, uint64(9))
 }
 
-func TestNothingBeforeTheFirstTable(t *testing.T) {
+func TestNoViewBeforeFirstTable(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{{Key: "a1", Revision: 1, Value: []byte("2")}}, 1)
 	assert.Assert(t, e.View() == nil)
 }
 
-// lastNamed is the version of the adapter that a history named last, or 0.
+// lastNamed returns the last version of the adapter in a history, or 0.
 func lastNamed(history []sandbarrow.KeyItem) sandbarrow.AdapterVersion {
 	for _, it := range slices.Backward(history) {
 		if it.Key != "table" {
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []sandbarrow.KeyItem
 		for i := range rapid.IntRange(1, 20).Draw(t, "changes") {
@@ -89,16 +89,16 @@
 			if v := mixed.View(); v != nil {
 				key := sandbarrow.AdapterKey{Adapter: "a1"}
 				if v.Revision < last.Revision || v.Version(key) < last.Version(key) {
-					t.Fatalf("went back from %v to %v", last, *v)
+					t.Fatalf("view changed from %v to the older %v", last, *v)
 				}
 				last = *v
 			}
 		}
-		items, mark := ordered.Since(Mark{})
-		mixed.Update(items, mark.Revision)
+		items, watermark := ordered.Since(Mark{})
+		mixed.Update(items, watermark.Revision)
 		a, b := ordered.View(), mixed.View()
 		if (a == nil) != (b == nil) || a != nil && a.Revision != b.Revision {
-			t.Fatal("two sides differ after all changes")
+			t.Fatal("views differ after all changes")
 		}
 		key := sandbarrow.AdapterKey{Adapter: "a1"}
 		for _, v := range []*View{a, b} {
@@ -109,17 +109,16 @@
 	})
 }
 
-// A peer gets only what it lacks.
-func TestSince(t *testing.T) {
+func TestSinceReturnsOnlyMissingItems(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{table(3, "1"), {Key: "a1", Revision: 5, Value: []byte("2")}}, 8)
-	items, mark := e.Since(Mark{Revision: 3})
+	items, watermark := e.Since(Mark{Revision: 3})
 	assert.Equal(t, len(items), 1)
 	assert.Equal(t, items[0].Key, "a1")
-	assert.DeepEqual(t, mark, Mark{Revision: 8})
+	assert.DeepEqual(t, watermark, Mark{Revision: 8})
 }
 
-func TestVersionNamedBeforeTheFirstTable(t *testing.T) {
+func TestVersionNamedBeforeFirstTableIsKept(t *testing.T) {
 	e := newEstate()
 	named := sandbarrow.KeyItem{Key: "a1", Revision: 1, Value: []byte("2")}
 	e.Update([]sandbarrow.KeyItem{named}, 1)
@@ -130,7 +129,7 @@
 	assert.Equal(t, e.View().Version(key), sandbarrow.AdapterVersion(2))
 }
 
-func TestWhoBroughtAConfiguration(t *testing.T) {
+func TestLogNamesSourceOfConfiguration(t *testing.T) {
 	var lines strings.Builder
 	e := New(documents{}, slog.New(slog.NewTextHandler(&lines, nil)))
 	e.Learn([]sandbarrow.KeyItem{table(1, "4")}, Mark{Revision: 1})
@@ -138,8 +137,8 @@
 	assert.Assert(t, e.Answered().IsZero())
 	e.Update([]sandbarrow.KeyItem{table(2, "6")}, 2)
 	assert.Assert(t, strings.Contains(lines.String(), "version=6 revision=2 from=store"), lines.String())
-	answered := e.Answered()
-	assert.Assert(t, !answered.IsZero())
+	last := e.Answered()
+	assert.Assert(t, !last.IsZero())
 	e.Update(nil, 3)
-	assert.Assert(t, !e.Answered().Before(answered))
+	assert.Assert(t, !e.Answered().Before(last))
 }
--- a/estate/storereturn_test.go
+++ b/estate/storerestore_test.go
@@ -29,7 +29,7 @@
 		{"restored copy", table(rev(2, 90), "85"), 87, rev(1, 150)},
 		{"older table rewritten", table(rev(2, 101), "86"), 87, rev(1, 150)},
 		{"same table rewritten", table(rev(2, 102), "87"), 87, rev(2, 102)},
-		{"late answer of the earlier era", table(rev(1, 150), "87"), 87, rev(2, 102)},
+		{"late response of the earlier era", table(rev(1, 150), "87"), 87, rev(2, 102)},
 		{"next change, with a lower revision number", table(rev(2, 104), "90"), 90, rev(2, 104)},
 	} {
 		e.Update([]sandbarrow.KeyItem{step.item}, step.item.Revision)
@@ -50,9 +50,9 @@
 	assert.Equal(t, e.View().Version(key), sandbarrow.AdapterVersion(7))
 	peer := newEstate()
 	peer.Update(append(named(rev(2, 40), "6"), table(rev(2, 1), "1")), rev(2, 50))
-	items, mark := e.Since(Mark{Revision: rev(2, 50)})
-	peer.Learn(items, mark)
-	assert.Equal(t, peer.View().Version(key), sandbarrow.AdapterVersion(7), "not learned from a peer that knew it before the restore")
+	items, watermark := e.Since(Mark{Revision: rev(2, 50)})
+	peer.Learn(items, watermark)
+	assert.Equal(t, peer.View().Version(key), sandbarrow.AdapterVersion(7), "version known before the restore not applied from a peer")
 	e.Update(named(rev(2, 52), "8"), rev(2, 52))
 	assert.Equal(t, e.View().Version(key), sandbarrow.AdapterVersion(8))
 }
@@ -79,8 +79,8 @@
 	}
 }
 
-func TestMarkMerge(t *testing.T) {
-	marks := rapid.Custom(func(t *rapid.T) Mark {
+func TestWatermarkMerge(t *testing.T) {
+	watermarks := rapid.Custom(func(t *rapid.T) Mark {
 		m := Mark{Revision: rev(sandbarrow.StoreEra(rapid.IntRange(0, 3).Draw(t, "era")), uint64(rapid.IntRange(0, 4).Draw(t, "number")))}
 		for era := m.Revision.Era(); era > 0; era-- {
 			if number := uint64(rapid.IntRange(0, 4).Draw(t, "earlier number")); number > 0 {
@@ -90,7 +90,7 @@
 		return m
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := marks.Draw(t, "a"), marks.Draw(t, "b")
+		a, b := watermarks.Draw(t, "a"), watermarks.Draw(t, "b")
 		merged := a.merge(b)
 		assert.Assert(t, !merged.MayLack(a) && !merged.MayLack(b), "%v and %v merge to %v", a, b, merged)
 		assert.DeepEqual(t, merged, b.merge(a))
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestNeverGoesBackAcrossRestores(t *testing.T) {
+func TestVersionsNeverDecreaseAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// The store is a list of tables by revision. A restore truncates it.
 		var store []uint64
@@ -110,10 +110,10 @@
 			store = append(store, version)
 		}
 		write()
-		sides := []*Estate{newEstate(), newEstate(), newEstate()}
-		newest := make([]uint64, len(sides))
+		estates := []*Estate{newEstate(), newEstate(), newEstate()}
+		newest := make([]uint64, len(estates))
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			i := rapid.IntRange(0, len(sides)-1).Draw(t, "side")
+			i := rapid.IntRange(0, len(estates)-1).Draw(t, "estate")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				write()
@@ -124,26 +124,26 @@
 				store = append(store, version) // the operators rewrite the newest table
 			case 3:
 				at := rev(era, uint64(len(store)))
-				sides[i].Replace([]sandbarrow.KeyItem{table(at, fmt.Sprint(store[len(store)-1]))}, at)
+				estates[i].Replace([]sandbarrow.KeyItem{table(at, fmt.Sprint(store[len(store)-1]))}, at)
 			default:
-				peer := sides[rapid.IntRange(0, len(sides)-1).Draw(t, "peer")]
-				mine, _ := sides[i].Mark()
-				items, mark := peer.Since(mine)
-				sides[i].Learn(items, mark)
-				if a, b := peer.View(), sides[i].View(); a != nil {
-					assert.Assert(t, b != nil && b.Table.Version >= a.Table.Version, "peer did not send all that it knows")
+				peer := estates[rapid.IntRange(0, len(estates)-1).Draw(t, "peer")]
+				mine, _ := estates[i].Mark()
+				items, watermark := peer.Since(mine)
+				estates[i].Learn(items, watermark)
+				if a, b := peer.View(), estates[i].View(); a != nil {
+					assert.Assert(t, b != nil && b.Table.Version >= a.Table.Version, "the peer did not send its newest table")
 				}
 			}
-			for i, e := range sides {
+			for i, e := range estates {
 				if v := e.View(); v != nil {
-					assert.Assert(t, v.Table.Version >= newest[i], "went back from %d to %d", newest[i], v.Table.Version)
+					assert.Assert(t, v.Table.Version >= newest[i], "version decreased from %d to %d", newest[i], v.Table.Version)
 					newest[i] = v.Table.Version
 				}
 			}
 		}
 		store = append(store, version)
 		at := rev(era, uint64(len(store)))
-		for _, e := range sides {
+		for _, e := range estates {
 			e.Replace([]sandbarrow.KeyItem{table(at, fmt.Sprint(version))}, at)
 			assert.Equal(t, e.View().Table.Version, version)
 		}
@@ -158,10 +158,10 @@
 	e.Update([]sandbarrow.KeyItem{table(rev(2, 90), "85")}, rev(2, 104))
 	confirmed := func() bool { at, _ := e.Confirmed(); return at.After(before) }
 	e.Confirm(boottime.Now(), rev(2, 90))
-	assert.Assert(t, !confirmed(), "confirmed although a newer table may have been lost")
+	assert.Assert(t, !confirmed(), "confirmed although the store may have lost a newer table")
 	e.Update([]sandbarrow.KeyItem{table(rev(2, 106), "87")}, rev(2, 106))
 	e.Confirm(boottime.Now(), rev(2, 106))
-	assert.Assert(t, confirmed(), "not confirmed although written since the restore")
+	assert.Assert(t, confirmed(), "not confirmed although written after the restore")
 }
 
 func TestRestoredCopyConfirmsTableAfterRewriteWindow(t *testing.T) {
@@ -177,28 +177,28 @@
 	assert.Equal(t, at, later)
 }
 
-func TestConfirmationEndsWhenPeerKnowsNewerTable(t *testing.T) {
+func TestConfirmationIsDroppedWhenPeerHasNewerTable(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{table(rev(2, 55), "2")}, rev(2, 104))
 	e.Confirm(boottime.Now(), rev(2, 55))
 	at, _ := e.Confirmed()
 	assert.Assert(t, !at.IsZero(), "not confirmed although no restore was detected")
 	e.Learn([]sandbarrow.KeyItem{table(rev(1, 135), "4")}, Mark{Earlier: []sandbarrow.StoreRevision{rev(1, 140)}, Revision: rev(2, 110)})
-	for _, asked := range []time.Time{boottime.Now(), boottime.Now().Add(rewriteWindow / 2)} {
+	for _, requestedAt := range []time.Time{boottime.Now(), boottime.Now().Add(rewriteWindow / 2)} {
 		at, _ = e.Confirmed()
 		assert.Assert(t, at.IsZero())
-		e.Confirm(asked, rev(2, 55))
+		e.Confirm(requestedAt, rev(2, 55))
 	}
 	at, _ = e.Confirmed()
 	assert.Assert(t, at.IsZero())
 }
 
-func TestMarkOfManyErasIsBounded(t *testing.T) {
+func TestWatermarkOfManyErasIsBounded(t *testing.T) {
 	var m Mark
 	for era := range sandbarrow.StoreEra(30) {
 		m = m.merge(Mark{Revision: rev(era, 7)})
 	}
 	assert.Equal(t, len(m.Earlier), maxEarlierEras)
-	assert.Assert(t, m.covers(rev(2, 100)), "older than the eras kept")
+	assert.Assert(t, m.covers(rev(2, 100)), "eras older than those in Earlier must count as covered")
 	assert.Assert(t, !m.covers(rev(28, 8)))
 }
--- a/estate/mark.go
+++ b/estate/watermark.go
@@ -6,26 +6,26 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// maxEarlierEras bounds Mark.Earlier. Only recent eras matter: what the store lost in a restore is needed
-// until the operators have rewritten it.
+// maxEarlierEras is the maximum length of Watermark.Earlier. Only recent eras matter, because writes that the
+// store lost in a restore are needed only until the operators have rewritten them.
 const maxEarlierEras = 8
 
-// Mark says up to which revisions a side knows the operators' state.
+// Watermark describes how far a process has synced the operators' state.
 type Mark struct {
 	// Revision is the revision up to which the state is complete.
 	Revision sandbarrow.StoreRevision `json:"revision"`
 	// Earlier holds one such revision for each earlier era, latest first. The store may have lost writes
-	// of these eras that the operators have not rewritten yet.
+	// of these eras, and the operators may not have rewritten them yet.
 	Earlier []sandbarrow.StoreRevision `json:"earlier,omitempty"`
 }
 
-// MayLack reports whether a side with the other mark may know an item that a side with this mark does not.
+// MayLack reports whether a process at the other watermark may have an item that one at this watermark lacks.
 func (m Mark) MayLack(other Mark) bool {
 	return !m.covers(other.Revision) || slices.ContainsFunc(other.Earlier, func(r sandbarrow.StoreRevision) bool { return !m.covers(r) })
 }
 
-// covers reports whether a side with this mark knows the item of a revision or a newer one of the same key.
-// Revisions of eras before those in a full Earlier count as known.
+// covers reports whether a process at this watermark has the item of a revision or a newer one of the same key.
+// If Earlier is full, revisions of eras before those in it count as covered.
 func (m Mark) covers(r sandbarrow.StoreRevision) bool {
 	if r == 0 || r.Era() >= m.Revision.Era() {
 		return r <= m.Revision
@@ -38,7 +38,7 @@
 	return len(m.Earlier) == maxEarlierEras && r < m.Earlier[maxEarlierEras-1]
 }
 
-// merge returns the mark of a side that knows everything that either mark covers.
+// merge returns the watermark of a process that has everything that either watermark covers.
 func (m Mark) merge(other Mark) Mark {
 	all := slices.Concat([]sandbarrow.StoreRevision{m.Revision, other.Revision}, m.Earlier, other.Earlier)
 	slices.Sort(all)
--- a/internal/storetest/faultystore.go
+++ b/internal/storetest/faultystore.go
@@ -1,5 +1,4 @@
-// Package storetest holds a store with faults for the tests of what is built
-// on the platform's store.
+// Package storetest provides a store with injected faults, for tests of code that uses the platform's store.
 package storetest
 
 import (
@@ -9,64 +8,64 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Fault is what happens to one call.
+// Fault is a fault injected into one call.
 type Fault int
 
-// The faults of a call.
+// The faults that can be injected into a call.
 const (
-	// None lets the call through.
+	// None passes the call on.
 	None Fault = iota
-	// Down refuses the call; nothing takes effect.
+	// Unavailable refuses the call. Nothing takes effect.
 	Down
-	// Lost lets the call take effect and loses its reply.
+	// ReplyLost passes the call on and drops its reply. The call takes effect.
 	Lost
-	// Swallowed loses the call; the caller can't tell it from Lost.
+	// RequestLost drops the call. The caller gets the same error as for ReplyLost.
 	Swallowed
 )
 
-// Store passes calls on to the store below, each with the fault that Next gives.
+// Store passes calls on to Inner. Each call suffers the fault that Next returns.
 type Store struct {
 	Below sandbarrow.Store
 	Next  func() Fault
 }
 
-// CompareAndSwap passes on.
+// CompareAndSwap passes the call on.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
-	return with(s, func() (sandbarrow.StoreRevision, error) {
+	return withFault(s, func() (sandbarrow.StoreRevision, error) {
 		return s.Below.CompareAndSwap(ctx, key, previous, value, lease)
 	})
 }
 
-// EraSince passes on.
+// EraSince passes the call on.
 func (s *Store) EraSince() (time.Time, bool) { return s.Below.EraSince() }
 
-// Get passes on.
+// Get passes the call on.
 func (s *Store) Get(ctx context.Context, key string) (sandbarrow.Item, error) {
-	return with(s, func() (sandbarrow.Item, error) { return s.Below.Get(ctx, key) })
+	return withFault(s, func() (sandbarrow.Item, error) { return s.Below.Get(ctx, key) })
 }
 
-// GrantLease passes on.
+// GrantLease passes the call on.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (sandbarrow.LeaseID, error) {
-	return with(s, func() (sandbarrow.LeaseID, error) { return s.Below.GrantLease(ctx, ttl) })
+	return withFault(s, func() (sandbarrow.LeaseID, error) { return s.Below.GrantLease(ctx, ttl) })
 }
 
-// RenewLease passes on.
+// RenewLease passes the call on.
 func (s *Store) RenewLease(ctx context.Context, lease sandbarrow.LeaseID) (sandbarrow.StoreEra, error) {
-	return with(s, func() (sandbarrow.StoreEra, error) { return s.Below.RenewLease(ctx, lease) })
+	return withFault(s, func() (sandbarrow.StoreEra, error) { return s.Below.RenewLease(ctx, lease) })
 }
 
-// RevokeLease passes on.
+// RevokeLease passes the call on.
 func (s *Store) RevokeLease(ctx context.Context, lease sandbarrow.LeaseID) error {
-	_, err := with(s, func() (struct{}, error) { return struct{}{}, s.Below.RevokeLease(ctx, lease) })
+	_, err := withFault(s, func() (struct{}, error) { return struct{}{}, s.Below.RevokeLease(ctx, lease) })
 	return err
 }
 
-// Watch passes on.
+// Watch passes the call on.
 func (s *Store) Watch(ctx context.Context, key string, after sandbarrow.StoreRevision) (sandbarrow.Item, error) {
-	return with(s, func() (sandbarrow.Item, error) { return s.Below.Watch(ctx, key, after) })
+	return withFault(s, func() (sandbarrow.Item, error) { return s.Below.Watch(ctx, key, after) })
 }
 
-func with[T any](s *Store, call func() (T, error)) (T, error) {
+func withFault[T any](s *Store, call func() (T, error)) (T, error) {
 	var zero T
 	switch s.Next() {
 	case Down:
--- a/internal/storetest/fixseed.go
+++ b/internal/storetest/fixseed.go
@@ -7,13 +7,12 @@
 	_ "pgregory.net/rapid" // registers the flags
 )
 
-// FixSeed makes the property tests of a package repeat exactly, with a number of
-// checks each, so that the same tree always gets the same verdict. The flags
-// -rapid.seed (0 is random) and -rapid.checks override it.
+// FixSeed sets a fixed seed and the number of checks for the property tests of a package. Repeated runs of the
+// same code then have the same result. The flags -rapid.seed (0 is random) and -rapid.checks override it.
 func FixSeed(checks int) {
 	for name, value := range map[string]string{"rapid.checks": strconv.Itoa(checks), "rapid.seed": "1"} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // the flag has another name in the library
+			panic(err) // the library has renamed the flag
 		}
 	}
 }
--- a/store/httpstore.go
+++ b/store/httpstore.go
@@ -18,50 +18,50 @@
 	"sandbarrow.example/sandbarrow/internal/storeera"
 )
 
-// leastWatch and mostWatch bound how long one watch call waits at the store; between them it
-// is drawn at random. A change ends the watches of all processes at one moment: were the
-// next ones equally long, all would be deaf together while their connections are silent, and
-// none could tell the others, by their marks (TestSilentStoreIsNoticed).
+// The wait of a watch call at the store is random, between minWatchWait and maxWatchWait. A change ends the
+// watches of all processes at the same time. If their next watches were equally long and their connections
+// hung, no process would receive a change before all watches time out. With random waits some watches end
+// early, and those processes publish the change to the others with their watermarks
+// (TestChangeIsSeenWhileConnectionsHang).
 const (
-	leastWatch = 500 * time.Millisecond
-	mostWatch  = 8 * time.Second
+	minWatchWait = 500 * time.Millisecond
+	maxWatchWait = 8 * time.Second
 )
 
-// callTimeout bounds each call but a watch: the matrix's slow store answers after 0.7 s and must
-// still be heard.
+// callTimeout is the timeout of each call; that of a watch is longer by its wait. The slow store of the test
+// matrix responds after 0.7 s, and its responses must still be accepted.
 const callTimeout = time.Second
 
-// idleConnections is how many connections to the store are kept open: an agent's watches, its lease
-// and its claims under way.
-const idleConnections = 16
+// maxIdleConnections is the number of idle connections kept open to the store. It covers an agent's watches, its
+// lease and its concurrent claims.
+const maxIdleConnections = 16
 
-// The headers of answers.
+// The headers of responses.
 const (
-	// HeaderEra is the header of the store's era, in each answer.
+	// HeaderEra is the response header with the era of the store.
 	HeaderEra = "Store-Era"
-	// HeaderLease is the header of the lease that a key is tied to.
+	// HeaderLease is the response header with the lease to which a key is attached.
 	HeaderLease = "Lease"
 
 	headerRevision = "Revision"
 )
 
-// HTTP is the platform's key-value service over HTTP. It uses net/http, since
-// a context must end a call in flight.
+// HTTP is a client of the platform's key-value service over HTTP. It uses net/http because calls in flight must
+// end with their context.
 type HTTP struct {
 	base   string
 	client *http.Client
 	eras   *storeera.Tracker
-	// unanswered is set while the last call got no answer, so that the store may have been restored
-	// since.
-	unanswered atomic.Bool
+	// lastCallFailed says that the last call got no response. The store may have been restored since then.
+	lastCallFailed atomic.Bool
 }
 
-// NewHTTP returns a store at a base URL.
+// NewHTTP returns a client for the store at a base URL.
 func NewHTTP(base string) *HTTP {
-	return &HTTP{base: base, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}, eras: storeera.NewTracker()}
+	return &HTTP{base: base, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}, eras: storeera.NewTracker()}
 }
 
-// CompareAndSwap writes a key that is at previous.
+// CompareAndSwap writes a key if it is at the previous revision.
 func (s *HTTP) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
 	if len(value) > sandbarrow.MaxValueBytes {
 		return 0, errors.Annotatef(sandbarrow.ErrStoreUnavailable, "key %s: value of %d bytes is over %d", key, len(value), sandbarrow.MaxValueBytes)
@@ -84,7 +84,7 @@
 	return item.Revision, errors.Annotatef(err, "swap %s", key)
 }
 
-// EraSince returns when this process first saw the store's current era.
+// EraSince returns when this process first saw the current era of the store.
 func (s *HTTP) EraSince() (since time.Time, first bool) { return s.eras.Since() }
 
 // Get reads a key.
@@ -93,7 +93,7 @@
 	return item, errors.Annotatef(err, "get %s", key)
 }
 
-// GrantLease creates a lease.
+// GrantLease creates a lease that expires after ttl unless it is renewed.
 func (s *HTTP) GrantLease(ctx context.Context, ttl time.Duration) (sandbarrow.LeaseID, error) {
 	item, era, err := s.call(ctx, callTimeout, http.MethodPost, "/leases?ttl_ms="+strconv.FormatInt(ttl.Milliseconds(), 10), nil)
 	if err != nil {
@@ -108,13 +108,13 @@
 	return sandbarrow.NewLeaseID(era, reply.ID), nil
 }
 
-// RenewLease starts a lease anew.
+// RenewLease restarts the time to live of a lease.
 func (s *HTTP) RenewLease(ctx context.Context, lease sandbarrow.LeaseID) (sandbarrow.StoreEra, error) {
 	_, era, err := s.call(ctx, callTimeout, http.MethodPut, "/leases/"+lease.Name(), nil)
 	return era, errors.Annotatef(err, "renew lease %s", lease)
 }
 
-// RevokeLease ends a lease.
+// RevokeLease revokes a lease.
 func (s *HTTP) RevokeLease(ctx context.Context, lease sandbarrow.LeaseID) error {
 	if current := s.eras.Current(); lease.Era() != current {
 		return errors.Annotatef(sandbarrow.ErrStoreLeaseLost, "revoke lease of era %d in era %d", lease.Era(), current)
@@ -123,10 +123,10 @@
 	return errors.Annotatef(err, "revoke lease %s", lease)
 }
 
-// Watch waits for a change of a key. If after is of an earlier era, it returns the current value without
-// waiting for the store's revisions to pass the old one.
+// Watch waits for a change of a key. If after belongs to an earlier era, it returns the current value
+// immediately: the revisions of the current era may still be lower than after.
 func (s *HTTP) Watch(ctx context.Context, key string, after sandbarrow.StoreRevision) (sandbarrow.Item, error) {
-	if s.unanswered.Load() {
+	if s.lastCallFailed.Load() {
 		item, err := s.Get(ctx, key)
 		if err != nil || item.Revision > after {
 			return item, err
@@ -136,7 +136,7 @@
 	if after.Era() < s.eras.Current() {
 		number = 0
 	}
-	wait := leastWatch + rand.N(mostWatch-leastWatch)
+	wait := minWatchWait + rand.N(maxWatchWait-minWatchWait)
 	q := url.Values{
 		"after":   {strconv.FormatUint(number, 10)},
 		"era":     {strconv.FormatUint(uint64(after.Era()), 10)},
@@ -155,27 +155,27 @@
 func (s *HTTP) call(ctx context.Context, timeout time.Duration, method, path string, body []byte) (sandbarrow.Item, sandbarrow.StoreEra, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a, err := httpcall.Do(ctx, s.client, httpcall.Call{
+	response, err := httpcall.Do(ctx, s.client, httpcall.Call{
 		Body: body, Limit: sandbarrow.MaxValueBytes + 1, Method: method, URL: s.base + path,
 	})
 	httpcall.LeaveSilent(ctx, s.client)
-	s.unanswered.Store(err != nil)
+	s.lastCallFailed.Store(err != nil)
 	switch {
 	case errors.Is(err, httpcall.ErrNotSent):
 		return sandbarrow.Item{}, 0, errors.Annotate(sandbarrow.ErrStoreUnavailable, err.Error())
 	case err != nil:
 		return sandbarrow.Item{}, 0, errors.Annotate(sandbarrow.ErrStoreUnknown, err.Error())
 	}
-	era, err := s.eras.Observe(a.Header.Get(HeaderEra))
+	era, err := s.eras.Observe(response.Header.Get(HeaderEra))
 	if err != nil {
 		return sandbarrow.Item{}, 0, errors.Annotate(sandbarrow.ErrStoreUnknown, err.Error())
 	}
-	if err := statusError(a.Status, a.Body); err != nil {
+	if err := statusError(response.Status, response.Body); err != nil {
 		return sandbarrow.Item{}, era, err
 	}
-	number, _ := strconv.ParseUint(a.Header.Get(headerRevision), 10, 64) // 0 in the answers that have none, those about leases
+	number, _ := strconv.ParseUint(response.Header.Get(headerRevision), 10, 64) // 0 if the response has no revision, as for lease calls
 	return sandbarrow.Item{
-		Lease: sandbarrow.NewLeaseID(era, a.Header.Get(HeaderLease)), Revision: sandbarrow.NewStoreRevision(era, number), Value: a.Body,
+		Lease: sandbarrow.NewLeaseID(era, response.Header.Get(HeaderLease)), Revision: sandbarrow.NewStoreRevision(era, number), Value: response.Body,
 	}, era, nil
 }
 
--- a/store/measuredstore.go
+++ b/store/measuredstore.go
@@ -10,63 +10,63 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Measured counts the calls of the store below it by operation and result.
+// Measured decorates a store with a counter of calls by operation and result.
 type Measured struct {
-	below sandbarrow.Store
+	inner sandbarrow.Store
 	calls *prometheus.CounterVec
 }
 
 // NewMeasured returns a decorator that registers sandbarrow_store_calls_total.
-func NewMeasured(below sandbarrow.Store, r prometheus.Registerer) *Measured {
+func NewMeasured(inner sandbarrow.Store, r prometheus.Registerer) *Measured {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "sandbarrow_store_calls_total",
 		Help: "Calls to the platform's key-value service.",
 	}, []string{"operation", "result"})
 	r.MustRegister(calls)
-	return &Measured{below: below, calls: calls}
+	return &Measured{inner: inner, calls: calls}
 }
 
-// CompareAndSwap counts and passes on.
+// CompareAndSwap counts the call and passes it on.
 func (m *Measured) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
-	revision, err := m.below.CompareAndSwap(ctx, key, previous, value, lease)
+	revision, err := m.inner.CompareAndSwap(ctx, key, previous, value, lease)
 	m.count("swap", err)
 	return revision, err
 }
 
-// EraSince passes on.
-func (m *Measured) EraSince() (time.Time, bool) { return m.below.EraSince() }
+// EraSince passes the call on.
+func (m *Measured) EraSince() (time.Time, bool) { return m.inner.EraSince() }
 
-// Get counts and passes on.
+// Get counts the call and passes it on.
 func (m *Measured) Get(ctx context.Context, key string) (sandbarrow.Item, error) {
-	item, err := m.below.Get(ctx, key)
+	item, err := m.inner.Get(ctx, key)
 	m.count("get", err)
 	return item, err
 }
 
-// GrantLease counts and passes on.
+// GrantLease counts the call and passes it on.
 func (m *Measured) GrantLease(ctx context.Context, ttl time.Duration) (sandbarrow.LeaseID, error) {
-	id, err := m.below.GrantLease(ctx, ttl)
+	id, err := m.inner.GrantLease(ctx, ttl)
 	m.count("grant", err)
 	return id, err
 }
 
-// RenewLease counts and passes on.
+// RenewLease counts the call and passes it on.
 func (m *Measured) RenewLease(ctx context.Context, lease sandbarrow.LeaseID) (sandbarrow.StoreEra, error) {
-	era, err := m.below.RenewLease(ctx, lease)
+	era, err := m.inner.RenewLease(ctx, lease)
 	m.count("renew", err)
 	return era, err
 }
 
-// RevokeLease counts and passes on.
+// RevokeLease counts the call and passes it on.
 func (m *Measured) RevokeLease(ctx context.Context, lease sandbarrow.LeaseID) error {
-	err := m.below.RevokeLease(ctx, lease)
+	err := m.inner.RevokeLease(ctx, lease)
 	m.count("revoke", err)
 	return err
 }
 
-// Watch counts and passes on.
+// Watch counts the call and passes it on.
 func (m *Measured) Watch(ctx context.Context, key string, after sandbarrow.StoreRevision) (sandbarrow.Item, error) {
-	item, err := m.below.Watch(ctx, key, after)
+	item, err := m.inner.Watch(ctx, key, after)
 	m.count("watch", err)
 	return item, err
 }
--- a/store/memorycopy.go
+++ b/store/memorycopy.go
@@ -6,9 +6,9 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// MemoryCopy is a copy of the state of a Memory.
+// MemoryCopy is a copy of the state of a Memory store.
 type MemoryCopy struct {
-	gone      map[string]uint64
+	deleted   map[string]uint64
 	items     map[string]memoryItem
 	leases    map[string]memoryLease
 	nextLease int
@@ -20,7 +20,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := MemoryCopy{
-		gone: maps.Clone(m.gone), items: maps.Clone(m.items), leases: map[string]memoryLease{},
+		deleted: maps.Clone(m.deleted), items: maps.Clone(m.items), leases: map[string]memoryLease{},
 		nextLease: m.nextLease, revision: m.revision,
 	}
 	for id, l := range m.leases {
@@ -29,21 +29,21 @@
 	return c
 }
 
-// Era returns how often the store was restored from a copy.
+// Era returns the current era: the number of times that the store was restored from a copy.
 func (m *Memory) Era() sandbarrow.StoreEra {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.era
 }
 
-// Restore restores an earlier state and begins the next era. Revisions and lease names assigned since the
-// copy are assigned again, and the ttl of the restored leases restarts.
+// Restore restores an earlier state and begins the next era. Revisions and lease names that were assigned after
+// the copy was taken are assigned again. The time to live of the restored leases restarts.
 func (m *Memory) Restore(c MemoryCopy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.era++
 	m.restoredAt = m.now()
-	m.gone, m.items = maps.Clone(c.gone), maps.Clone(c.items)
+	m.deleted, m.items = maps.Clone(c.deleted), maps.Clone(c.items)
 	m.nextLease, m.revision = c.nextLease, c.revision
 	m.leases = map[string]*memoryLease{}
 	for id, l := range c.leases {
--- a/store/memoryprefix.go
+++ b/store/memoryprefix.go
@@ -10,11 +10,11 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Commit makes a transaction.
+// Commit executes a transaction, or returns ErrStoreConflict if a key is not at its expected revision.
 func (m *Memory) Commit(_ context.Context, t sandbarrow.Transaction) (sandbarrow.StoreRevision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	for key, revision := range t.Expected {
 		if m.inEra(m.items[key].revision) != revision {
 			return 0, sandbarrow.ErrStoreConflict
@@ -23,7 +23,7 @@
 	m.bump()
 	for key, value := range t.Put {
 		m.items[key] = memoryItem{revision: m.revision, value: value}
-		delete(m.gone, key)
+		delete(m.deleted, key)
 	}
 	for _, key := range t.Remove {
 		m.remove(key)
@@ -31,11 +31,11 @@
 	return m.inEra(m.revision), nil
 }
 
-// Range reads all keys under a prefix.
+// Range returns all keys under a prefix, sorted by key.
 func (m *Memory) Range(_ context.Context, prefix string) ([]sandbarrow.KeyItem, sandbarrow.StoreRevision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	var items []sandbarrow.KeyItem
 	for key, it := range m.items {
 		if strings.HasPrefix(key, prefix) {
@@ -46,7 +46,7 @@
 	return items, m.inEra(m.revision), nil
 }
 
-// WatchPrefix waits until a key under a prefix changes past after.
+// WatchPrefix waits until a key under a prefix changes after a revision, or until wait has passed.
 func (m *Memory) WatchPrefix(ctx context.Context, prefix string, after sandbarrow.StoreRevision, wait time.Duration) ([]sandbarrow.KeyItem, sandbarrow.StoreRevision, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -63,18 +63,18 @@
 	}
 }
 
-// since lists the changes of a prefix after a revision, oldest first.
+// since returns the changes under a prefix after a revision, oldest first.
 func (m *Memory) since(prefix string, after sandbarrow.StoreRevision) ([]sandbarrow.KeyItem, sandbarrow.StoreRevision, chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	var items []sandbarrow.KeyItem
 	for key, it := range m.items {
 		if m.inEra(it.revision) > after && strings.HasPrefix(key, prefix) {
 			items = append(items, sandbarrow.KeyItem{Key: key, Revision: m.inEra(it.revision), Value: it.value})
 		}
 	}
-	for key, number := range m.gone {
+	for key, number := range m.deleted {
 		if m.inEra(number) > after && strings.HasPrefix(key, prefix) {
 			items = append(items, sandbarrow.KeyItem{Key: key, Gone: true, Revision: m.inEra(number)})
 		}
@@ -83,10 +83,10 @@
 	return items, m.inEra(m.revision), m.changed
 }
 
-// remove drops a key and remembers that it is gone. The caller holds mu.
+// remove deletes a key and records the revision of the deletion. The caller holds mu.
 func (m *Memory) remove(key string) {
 	if _, ok := m.items[key]; ok {
 		delete(m.items, key)
-		m.gone[key] = m.revision
+		m.deleted[key] = m.revision
 	}
 }
--- a/store/memorystore.go
+++ b/store/memorystore.go
@@ -9,15 +9,14 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Memory is a store in the memory of one process, for stand-ins, tests and
-// embedders that run alone.
+// Memory is an in-memory store for stand-ins, tests and embedders that run as a single process.
 type Memory struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	era     sandbarrow.StoreEra
-	// restoredAt is when the current era began; zero in the first one.
+	// restoredAt is when the current era began. It is zero in the first era.
 	restoredAt time.Time
-	gone       map[string]uint64
+	deleted    map[string]uint64
 	items      map[string]memoryItem
 	// leases is keyed by lease name, without the era.
 	leases    map[string]*memoryLease
@@ -38,10 +37,10 @@
 	ttl     time.Duration
 }
 
-// MemoryOption changes a Memory.
+// MemoryOption configures a Memory store.
 type MemoryOption func(*Memory)
 
-// WithMemoryClock replaces time.Now.
+// WithMemoryClock sets the clock that is used instead of time.Now.
 func WithMemoryClock(now func() time.Time) MemoryOption {
 	return func(m *Memory) { m.now = now }
 }
@@ -50,7 +49,7 @@
 func NewMemory(options ...MemoryOption) *Memory {
 	m := &Memory{
 		changed: make(chan struct{}),
-		gone:    map[string]uint64{},
+		deleted: map[string]uint64{},
 		items:   map[string]memoryItem{},
 		leases:  map[string]*memoryLease{},
 		now:     time.Now,
@@ -61,11 +60,11 @@
 	return m
 }
 
-// CompareAndSwap writes a key that is at previous.
+// CompareAndSwap writes a key if it is at the previous revision.
 func (m *Memory) CompareAndSwap(_ context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	if lease != "" && (lease.Era() != m.era || m.leases[lease.Name()] == nil) {
 		return 0, sandbarrow.ErrStoreLeaseLost
 	}
@@ -74,7 +73,7 @@
 	}
 	m.bump()
 	m.items[key] = memoryItem{lease: lease.Name(), revision: m.revision, value: value}
-	delete(m.gone, key)
+	delete(m.deleted, key)
 	return m.inEra(m.revision), nil
 }
 
@@ -94,7 +93,7 @@
 	return item, nil
 }
 
-// GrantLease creates a lease.
+// GrantLease creates a lease that expires after ttl unless it is renewed.
 func (m *Memory) GrantLease(_ context.Context, ttl time.Duration) (sandbarrow.LeaseID, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,11 +103,11 @@
 	return sandbarrow.NewLeaseID(m.era, name), nil
 }
 
-// RenewLease starts a lease anew.
+// RenewLease restarts the time to live of a lease.
 func (m *Memory) RenewLease(_ context.Context, lease sandbarrow.LeaseID) (sandbarrow.StoreEra, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	l := m.leases[lease.Name()]
 	if l == nil {
 		return m.era, sandbarrow.ErrStoreLeaseLost
@@ -117,18 +116,18 @@
 	return m.era, nil
 }
 
-// RevokeLease ends a lease and removes its keys.
+// RevokeLease revokes a lease and deletes its keys.
 func (m *Memory) RevokeLease(_ context.Context, lease sandbarrow.LeaseID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if lease.Era() != m.era {
 		return sandbarrow.ErrStoreLeaseLost
 	}
-	m.drop(lease.Name())
+	m.endLease(lease.Name())
 	return nil
 }
 
-// Watch waits until a key is past after, or until ctx ends.
+// Watch waits until a key has a later revision than after, or until ctx ends.
 func (m *Memory) Watch(ctx context.Context, key string, after sandbarrow.StoreRevision) (sandbarrow.Item, error) {
 	for {
 		item, ok, changed := m.read(key)
@@ -143,15 +142,15 @@
 	}
 }
 
-// bump advances the revision and wakes the watches. The caller holds mu.
+// bump increments the revision and wakes all watches. The caller holds mu.
 func (m *Memory) bump() {
 	m.revision++
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// drop ends a lease. The caller holds mu.
-func (m *Memory) drop(lease string) {
+// endLease removes a lease and deletes its keys. The caller holds mu.
+func (m *Memory) endLease(lease string) {
 	delete(m.leases, lease)
 	for key, it := range m.items {
 		if it.lease == lease {
@@ -161,12 +160,12 @@
 	}
 }
 
-// expire drops dead leases. The caller holds mu.
-func (m *Memory) expire() {
+// expireLeases ends the leases that have expired. The caller holds mu.
+func (m *Memory) expireLeases() {
 	now := m.now()
 	for id, l := range m.leases {
 		if now.After(l.expires) {
-			m.drop(id)
+			m.endLease(id)
 		}
 	}
 }
@@ -174,13 +173,13 @@
 func (m *Memory) read(key string) (sandbarrow.Item, bool, chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expire()
+	m.expireLeases()
 	it, ok := m.items[key]
 	item := sandbarrow.Item{Lease: sandbarrow.NewLeaseID(m.era, it.lease), Revision: m.inEra(it.revision), Value: it.value}
 	return item, ok, m.changed
 }
 
-// inEra returns the revision with a number in the current era. The caller holds mu.
+// inEra returns the revision that has a number in the current era. The caller holds mu.
 func (m *Memory) inEra(number uint64) sandbarrow.StoreRevision {
 	return sandbarrow.NewStoreRevision(m.era, number)
 }
