--- a/agent/admissions.go
+++ b/agent/admissions.go
@@ -20,14 +20,14 @@
 	drains   func()
 	instance sandbarrow.InstanceID
 	logger   *slog.Logger
-	reader   sandbarrow.AnnouncementReader
+	reader   sandbarrow.NoticeReader
 
 	mu      sync.Mutex
 	keeper  throttle.Coordinator
 	notices availability.Notices
 }
 
-func newAdmissions(id sandbarrow.UpstreamID, reader sandbarrow.AnnouncementReader, logger *slog.Logger) *admissions {
+func newAdmissions(id sandbarrow.UpstreamID, reader sandbarrow.NoticeReader, logger *slog.Logger) *admissions {
 	return &admissions{drains: func() {}, instance: sandbarrow.InstanceID(id), logger: logger, reader: reader}
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// Answered reads what an answer announces. A malformed limit says nothing.
-func (s *admissions) Answered(sent time.Time, status int, h http.Header) {
+// ResponseReceived reads what an answer announces. A malformed limit says nothing.
+func (s *admissions) ResponseReceived(sent time.Time, status int, h http.Header) {
 	announced, err := s.reader.Read(status, h)
 	if err != nil {
 		s.logger.Warn("announcement of the upstream not read", "error", err.Error())
--- a/agent/admissions_test.go
+++ b/agent/admissions_test.go
@@ -16,7 +16,7 @@
 // naming is the head of an answer that names a limit.
 func naming(limit string) http.Header {
 	h := http.Header{}
-	platform.Announcements{}.Write(h, sandbarrow.AnnouncementTexts{Limit: limit})
+	platform.Announcements{}.Write(h, sandbarrow.RawNotice{Limit: limit})
 	return h
 }
 
@@ -26,20 +26,20 @@
 	assert.Assert(t, admit(), "no limit is named")
 	before := boottime.Now()
 	time.Sleep(2 * time.Millisecond)
-	l.Answered(before, http.StatusOK, naming("0.5"))
+	l.ResponseReceived(before, http.StatusOK, naming("0.5"))
 	refused := l.admit(boottime.Now(), false).refusal
 	assert.Assert(t, refused != nil && refused.RetryAfter > time.Second && refused.RetryAfter <= 2*time.Second, "%v", refused)
-	l.Answered(before, http.StatusOK, naming(""))
+	l.ResponseReceived(before, http.StatusOK, naming(""))
 	assert.Assert(t, !admit(), "its request was sent before the limit was named")
-	l.Answered(boottime.Now(), http.StatusOK, naming("soon"))
-	l.Answered(boottime.Now(), http.StatusInternalServerError, naming(""))
+	l.ResponseReceived(boottime.Now(), http.StatusOK, naming("soon"))
+	l.ResponseReceived(boottime.Now(), http.StatusInternalServerError, naming(""))
 	assert.Assert(t, !admit(), "neither says anything")
 	l.unused()
 	assert.Assert(t, admit(), "one was given back")
 	l.Resumed()
 	assert.Assert(t, l.admit(boottime.Now(), false).refusal.RetryAfter > refused.RetryAfter, "a resumed stream counts")
 	time.Sleep(2 * time.Millisecond)
-	l.Answered(boottime.Now(), http.StatusOK, naming(""))
+	l.ResponseReceived(boottime.Now(), http.StatusOK, naming(""))
 	assert.Assert(t, admit(), "the limit has ended")
 }
 
@@ -47,14 +47,14 @@
 	a := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
 	drains := 0
 	a.drains = func() { drains++ }
-	answer := func(status int, texts sandbarrow.AnnouncementTexts) {
+	answer := func(status int, texts sandbarrow.RawNotice) {
 		h := http.Header{}
 		platform.Announcements{}.Write(h, texts)
-		a.Answered(boottime.Now(), status, h)
+		a.ResponseReceived(boottime.Now(), status, h)
 	}
-	answer(http.StatusServiceUnavailable, sandbarrow.AnnouncementTexts{Backoff: "soon", Limit: "-1"})
+	answer(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "soon", Limit: "-1"})
 	assert.Assert(t, a.admit(boottime.Now(), false).refusal == nil, "malformed")
-	answer(http.StatusServiceUnavailable, sandbarrow.AnnouncementTexts{Backoff: "2.5", Limit: "-1"})
+	answer(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "2.5", Limit: "-1"})
 	now := boottime.Now()
 	for _, counted := range []bool{false, true} {
 		refusal := a.admit(now, counted).refusal
@@ -62,8 +62,8 @@
 	}
 	assert.Assert(t, a.wantsNone(now) && !a.draining())
 	assert.Assert(t, a.admit(now.Add(2500*time.Millisecond), false).refusal == nil, "it is over")
-	answer(http.StatusOK, sandbarrow.AnnouncementTexts{Draining: "1"})
-	answer(http.StatusOK, sandbarrow.AnnouncementTexts{Draining: "1"})
+	answer(http.StatusOK, sandbarrow.RawNotice{Draining: "1"})
+	answer(http.StatusOK, sandbarrow.RawNotice{Draining: "1"})
 	assert.Equal(t, a.admit(boottime.Now(), true).refusal.Reason, sandbarrow.ReasonDraining)
 	assert.Equal(t, drains, 1)
 	a.restarted()
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -76,7 +76,7 @@
 
 // New returns an agent that listens from now on. It reads by reader what its upstream says of
 // itself in its answers.
-func New(s *settings.Settings, reader sandbarrow.AnnouncementReader, logger *slog.Logger, registry *prometheus.Registry) (*Agent, error) {
+func New(s *settings.Settings, reader sandbarrow.NoticeReader, logger *slog.Logger, registry *prometheus.Registry) (*Agent, error) {
 	listener, err := net.Listen("tcp", s.Listen.RPC)
 	if err != nil {
 		return nil, errors.Annotatef(err, "listen.rpc %s", s.Listen.RPC)
@@ -220,7 +220,7 @@
 
 // pump starts what can start and orders what can be ordered. The caller holds mu.
 func (a *Agent) pump(now time.Time) {
-	for _, t := range a.scheduler.GiveUp(now) {
+	for _, t := range a.scheduler.DropUnmeetable(now) {
 		a.endWaiting(t, sandbarrow.NotRun(sandbarrow.ReasonOverload, "the deadline can't be met any more", a.scheduler.Stats(boottime.Now()).LoadWait))
 	}
 	for t := a.scheduler.NextStart(now); t != nil; t = a.scheduler.NextStart(now) {
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -140,7 +140,7 @@
 	delete(a.attempts, at.key())
 	delete(a.byTicket, at.ticket)
 	a.metrics.attempts.WithLabelValues(string(result.Outcome)).Inc()
-	a.metrics.stalls.Observe(at.ticket.Stalled.Seconds())
+	a.metrics.stalls.Observe(at.ticket.StallTime.Seconds())
 	// A slow entry must not hold up the agent.
 	go at.reply(result)
 	close(at.done)
@@ -290,7 +290,7 @@
 	case at.ctx.Err() != nil:
 		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonDeadline, "given up while it ran", 0))
 	case errors.Is(err, sandbarrow.ErrUpstreamBroken):
-		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonAnswerBroken, "the upstream's answer was broken", retryPause))
+		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, "the upstream's answer was broken", retryPause))
 	default:
 		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the upstream failed", retryPause))
 	}
@@ -306,7 +306,7 @@
 	defer a.mu.Unlock()
 	a.scheduler.Finish(now, at.ticket)
 	if failed {
-		a.scheduler.Keep(at.req.Model, now.Add(cancelGrace))
+		a.scheduler.Protect(at.req.Model, now.Add(cancelGrace))
 	}
 	a.end(at, result)
 	a.pump(now)
--- a/agent/connection.go
+++ b/agent/connection.go
@@ -264,7 +264,7 @@
 		LoadMS:    wire.Millis(st.LoadWait),
 		Queued:    st.Queued,
 		Running:   st.Running,
-		ServiceMS: wire.Millis(st.Service),
+		ServiceMS: wire.Millis(st.RunTime),
 		Unready:   a.unready,
 	}
 	if c.resident != a.resident {
--- a/agent/framesink.go
+++ b/agent/framesink.go
@@ -15,7 +15,7 @@
 // frameSink takes an upstream's answer: streamed ones go out frame by frame,
 // whole ones are gathered for the result.
 type frameSink struct {
-	answer sandbarrow.Answer
+	answer sandbarrow.ResponseHeader
 	at     *attempt
 	body   []byte
 	frames int
@@ -28,7 +28,7 @@
 }
 
 // Begin takes the head of the answer.
-func (s *frameSink) Begin(a sandbarrow.Answer) error {
+func (s *frameSink) Begin(a sandbarrow.ResponseHeader) error {
 	s.answer = a
 	return nil
 }
@@ -61,7 +61,7 @@
 	r := wire.AttemptResult{
 		ContentType: s.answer.ContentType,
 		Frames:      s.frames,
-		Outcome:     sandbarrow.OutcomeWhole,
+		Outcome:     sandbarrow.OutcomeComplete,
 		Status:      s.answer.Status,
 	}
 	if !s.at.req.Stream {
@@ -73,7 +73,7 @@
 // kept is the result as it is kept for repeats of a once-only request. It names its
 // origin, since a repeat may come under another version.
 func (s *frameSink) kept(r wire.AttemptResult) wire.AttemptResult {
-	if r.Outcome == sandbarrow.OutcomeWhole {
+	if r.Outcome == sandbarrow.OutcomeComplete {
 		r.Origin = &wire.Origin{Model: s.at.req.Model, Revision: s.at.req.Revision}
 		r.Body = s.body
 		r.Frames = 0
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -93,7 +93,7 @@
 func (a *Agent) loadLimit() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return min(loadTimeout, max(loadTimeoutMin, loadPatience*a.scheduler.Stats(boottime.Now()).Load))
+	return min(loadTimeout, max(loadTimeoutMin, loadPatience*a.scheduler.Stats(boottime.Now()).LoadTime))
 }
 
 func (a *Agent) unload(o schedule.Order) bool {
--- a/agent/state.go
+++ b/agent/state.go
@@ -68,7 +68,7 @@
 	}
 	for model, running := range state.Loaded {
 		if running > 0 {
-			a.scheduler.Keep(model, now.Add(cancelGrace))
+			a.scheduler.Protect(model, now.Add(cancelGrace))
 		}
 	}
 	return true
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -48,7 +48,7 @@
 func isDraining(boxes []sandbarrow.Box, id sandbarrow.BoxID) bool {
 	for _, b := range boxes {
 		if b.ID == id {
-			return b.State == sandbarrow.BoxLeaving
+			return b.State == sandbarrow.BoxDraining
 		}
 	}
 	return false
--- a/announcement.go
+++ b/announcement.go
@@ -8,8 +8,8 @@
 // RequestRate is a number of requests a second.
 type RequestRate float64
 
-// Announcement is what an upstream says of itself in the head of an answer.
-type Announcement struct {
+// UpstreamNotice is what an upstream says of itself in the head of an answer.
+type UpstreamNotice struct {
 	// Backoff is for how long the upstream wants no more requests from the process that it has
 	// refused one; 0 where it names no time.
 	Backoff time.Duration
@@ -20,21 +20,21 @@
 	Limit *RequestRate
 }
 
-// AnnouncementReader reads what upstreams announce. It may be used from several goroutines.
-type AnnouncementReader interface {
+// NoticeReader reads what upstreams announce. It may be used from several goroutines.
+type NoticeReader interface {
 	// Read reads the head of an answer with a status. An error names each part that is
 	// malformed; the others are read all the same.
-	Read(status int, h http.Header) (Announcement, error)
+	Read(status int, h http.Header) (UpstreamNotice, error)
 }
 
-// AnnouncementTexts is an Announcement as stand-ins write it, malformed where they like; an
+// RawNotice is an Announcement as stand-ins write it, malformed where they like; an
 // empty part is left out.
-type AnnouncementTexts struct {
+type RawNotice struct {
 	Backoff, Draining, Limit string
 }
 
-// AnnouncementWriter writes what stand-ins announce.
-type AnnouncementWriter interface {
+// NoticeWriter writes what stand-ins announce.
+type NoticeWriter interface {
 	// Write adds the texts to the head of an answer.
-	Write(h http.Header, t AnnouncementTexts)
+	Write(h http.Header, t RawNotice)
 }
--- a/availability/end.go
+++ b/availability/end.go
@@ -23,9 +23,9 @@
 // report of its controller.
 func DetectExit(in, listed *sandbarrow.Instance, r Report) ExitEvidence {
 	switch {
-	case listed != nil && !listed.ID.Is(in.ID):
+	case listed != nil && !listed.ID.Matches(in.ID):
 		return ExitReplaced
-	case r.Instance != "" && !r.Instance.Is(in.ID):
+	case r.Instance != "" && !r.Instance.Matches(in.ID):
 		return ExitRestarted
 	}
 	return ""
--- a/availability/notices.go
+++ b/availability/notices.go
@@ -71,7 +71,7 @@
 // Inputs: the instance that the request was sent to, the status of the response and the notice in
 // it. A notice is ignored if the response is from another instance, which has taken over the
 // address.
-func (n *Notices) Apply(now time.Time, id sandbarrow.InstanceID, status int, notice sandbarrow.Announcement) Change {
+func (n *Notices) Apply(now time.Time, id sandbarrow.InstanceID, status int, notice sandbarrow.UpstreamNotice) Change {
 	n.expire(now)
 	if status == http.StatusMisdirectedRequest || !notice.Draining && notice.Backoff <= 0 {
 		return Change{}
--- a/availability/notices_test.go
+++ b/availability/notices_test.go
@@ -19,7 +19,7 @@
 func TestDrainNoticeAppliesToOneInstanceOnly(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	drains := sandbarrow.Announcement{Draining: true}
+	drains := sandbarrow.UpstreamNotice{Draining: true}
 	assert.Equal(t, n.Apply(now, upstream, http.StatusOK, drains), Change{Draining: true})
 	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusOK, drains), Change{})
 	assert.Equal(t, n.Check(now.Add(time.Minute), upstream), Notice{Draining: true, DrainingFor: time.Minute})
@@ -29,7 +29,7 @@
 func TestLongestBackoffWins(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	backoff := func(d time.Duration) sandbarrow.Announcement { return sandbarrow.Announcement{Backoff: d} }
+	backoff := func(d time.Duration) sandbarrow.UpstreamNotice { return sandbarrow.UpstreamNotice{Backoff: d} }
 	assert.Equal(t, n.Apply(now, upstream, http.StatusServiceUnavailable, backoff(3*time.Second)), Change{Backoff: true})
 	assert.Equal(t, n.Apply(now.Add(time.Second), upstream, http.StatusServiceUnavailable, backoff(time.Second)), Change{})
 	assert.Equal(t, n.Check(now.Add(time.Second), upstream).Backoff, 2*time.Second)
@@ -42,7 +42,7 @@
 func TestResponseOfAnotherInstanceIsIgnored(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	notice := sandbarrow.Announcement{Backoff: time.Second, Draining: true}
+	notice := sandbarrow.UpstreamNotice{Backoff: time.Second, Draining: true}
 	assert.Equal(t, n.Apply(now, upstream, http.StatusMisdirectedRequest, notice), Change{})
 	assert.Equal(t, n.Check(now, upstream), Notice{})
 }
@@ -50,17 +50,17 @@
 func TestNoticesExpireAndAreBounded(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	n.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
-	n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
-	n.Apply(now.Add(2*time.Second), "other", http.StatusOK, sandbarrow.Announcement{})
+	n.Apply(now, upstream, http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
+	n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.UpstreamNotice{Backoff: time.Second})
+	n.Apply(now.Add(2*time.Second), "other", http.StatusOK, sandbarrow.UpstreamNotice{})
 	assert.Equal(t, len(n.byInstance), 1, "the backoff is over and dropped")
 	n.Check(now.Add(noticeRetention), upstream)
-	n.Apply(now.Add(noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
+	n.Apply(now.Add(noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.UpstreamNotice{})
 	assert.Equal(t, len(n.byInstance), 1, "a notice in use is kept")
-	n.Apply(now.Add(2*noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.Announcement{})
+	n.Apply(now.Add(2*noticeRetention+time.Minute), "other", http.StatusOK, sandbarrow.UpstreamNotice{})
 	assert.Equal(t, len(n.byInstance), 0)
 	for i := range maxNotices + 10 {
-		n.Apply(now, sandbarrow.InstanceID(fmt.Sprint(i)), http.StatusOK, sandbarrow.Announcement{Draining: true})
+		n.Apply(now, sandbarrow.InstanceID(fmt.Sprint(i)), http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
 	}
 	assert.Equal(t, len(n.byInstance), maxNotices)
 	draining, backoff := n.Count(now)
@@ -69,15 +69,15 @@
 
 func TestNoticeAfterExitBelongsToNextInstance(t *testing.T) {
 	now := time.Now()
-	drains := sandbarrow.Announcement{Draining: true}
-	for _, first := range []sandbarrow.Announcement{{}, drains} {
+	drains := sandbarrow.UpstreamNotice{Draining: true}
+	for _, first := range []sandbarrow.UpstreamNotice{{}, drains} {
 		var n Notices
 		n.Apply(now, upstream, http.StatusOK, first)
 		n.Exited(now, upstream)
 		assert.Equal(t, n.Check(now, restarted), Notice{}, "the next instance has no notice")
 		n.Exited(now, restarted)
 		n.Apply(now, restarted, http.StatusOK, drains)
-		n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
+		n.Apply(now, restarted, http.StatusServiceUnavailable, sandbarrow.UpstreamNotice{Backoff: time.Second})
 		want := Notice{Backoff: time.Second, Draining: true}
 		assert.Equal(t, n.Check(now, restarted), want, "the list still shows the previous instance")
 		assert.Equal(t, n.Check(now, "v@3"), Notice{}, "another upstream")
@@ -89,7 +89,7 @@
 func TestExitClearsNoticeOfUpstreamWithoutStartTime(t *testing.T) {
 	now := time.Now()
 	var n Notices
-	n.Apply(now, "u", http.StatusOK, sandbarrow.Announcement{Draining: true})
+	n.Apply(now, "u", http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
 	n.Exited(now, "u")
 	assert.Equal(t, n.Check(now, "u"), Notice{})
 }
@@ -101,6 +101,6 @@
 		n.Exited(now, sandbarrow.NewInstanceID(sandbarrow.ListedID(fmt.Sprint(i)), 1))
 	}
 	assert.Assert(t, len(n.byInstance) == maxNotices && len(n.exited) == maxNotices)
-	n.Apply(now.Add(noticeRetention+time.Second), upstream, http.StatusOK, sandbarrow.Announcement{})
+	n.Apply(now.Add(noticeRetention+time.Second), upstream, http.StatusOK, sandbarrow.UpstreamNotice{})
 	assert.Assert(t, len(n.byInstance) == 0 && len(n.exited) == 0)
 }
--- a/availability/table_test.go
+++ b/availability/table_test.go
@@ -26,13 +26,13 @@
 		"listed as draining":   {draining, Report{}, nil, Check{Blocked: Draining}},
 		"reported as draining": {ready, Report{Draining: true}, nil, Check{Blocked: Draining}},
 		"drain notice": {ready, Report{}, func(x *Table) {
-			x.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
+			x.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
 		}, Check{Blocked: Draining}},
 		"drain notice of another instance": {ready, Report{}, func(x *Table) {
-			x.Notices.Apply(now, restarted, http.StatusOK, sandbarrow.Announcement{Draining: true})
+			x.Notices.Apply(now, restarted, http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
 		}, Check{}},
 		"backoff": {ready, Report{}, func(x *Table) {
-			x.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
+			x.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.UpstreamNotice{Backoff: time.Second})
 		}, Check{Blocked: Backoff, Wait: time.Second}},
 		"unreachable": {ready, Report{Unreachable: true}, nil, Check{Blocked: Unreachable}},
 		"replaced":    {ready, Report{Instance: restarted}, nil, Check{Blocked: Replaced}},
@@ -60,7 +60,7 @@
 		assert.Equal(t, reason, want)
 		assert.Equal(t, accepts, want == "")
 	}
-	table.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.Announcement{Draining: true})
+	table.Notices.Apply(now, upstream, http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
 	reason, _ := table.Accepts(now, &sandbarrow.Instance{ID: upstream})
 	assert.Equal(t, reason, Draining)
 }
@@ -69,7 +69,7 @@
 	now := time.Now()
 	for _, id := range []sandbarrow.InstanceID{"u", upstream} {
 		var table Table
-		table.Notices.Apply(now, id, http.StatusOK, sandbarrow.Announcement{Draining: true})
+		table.Notices.Apply(now, id, http.StatusOK, sandbarrow.UpstreamNotice{Draining: true})
 		ready, draining := &sandbarrow.Instance{ID: id}, &sandbarrow.Instance{Draining: true, ID: id}
 		assert.Equal(t, table.Check(now, ready, Report{}).Blocked, Draining, "the list does not show the drain yet")
 		assert.Equal(t, table.Check(now, draining, Report{}).Blocked, Draining)
@@ -82,7 +82,7 @@
 	ready := &sandbarrow.Instance{ID: upstream}
 	var table Table
 	table.Outcomes.Begin(now, upstream)
-	table.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.Announcement{Backoff: time.Second})
+	table.Notices.Apply(now, upstream, http.StatusServiceUnavailable, sandbarrow.UpstreamNotice{Backoff: time.Second})
 	table.End(now, upstream, true)
 	reason, accepts := table.Accepts(now, ready)
 	assert.Assert(t, reason == Backoff && !accepts)
--- a/boxlist.go
+++ b/boxlist.go
@@ -7,7 +7,7 @@
 
 // The states of a box in the platform's list.
 const (
-	BoxLeaving BoxState = "leaving"
+	BoxDraining BoxState = "leaving"
 	BoxLive    BoxState = "live"
 )
 
--- a/config/view.go
+++ b/config/view.go
@@ -112,13 +112,13 @@
 	}
 	class := v.classes[c.Class]
 	r := &policy.Request{
-		Adapter:  a.ID,
-		Caller:   c.ID,
-		Class:    c.Class,
-		ClassPri: class.Priority,
-		Latest:   a.Versions[len(a.Versions)-1].ID,
-		Marked:   atMostOnce,
-		Percent:  int(xxhash.Sum64String(string(c.ID)+"\x00"+string(a.ID)) % rolloutBuckets),
+		Adapter:          a.ID,
+		Caller:           c.ID,
+		Class:            c.Class,
+		ClassPriority:    class.Priority,
+		Latest:           a.Versions[len(a.Versions)-1].ID,
+		MarkedAtMostOnce: atMostOnce,
+		Percent:          int(xxhash.Sum64String(string(c.ID)+"\x00"+string(a.ID)) % rolloutBuckets),
 	}
 	p, ok := v.policies[a.Policy]
 	if !ok {
--- a/controller/engineloop.go
+++ b/controller/engineloop.go
@@ -138,7 +138,7 @@
 	c.slots.capacity = 0
 	if service := c.ownService(); service != nil && service.Engine != nil {
 		c.slots.capacity = max(1, service.Engine.AdapterSlots-c.late.possible(c.now(), c.sequence))
-		c.slots.kept.SetCapacity(service.Engine.MemoryTokens)
+		c.slots.kept.SetCapacity(service.Engine.KVCacheTokens)
 	}
 }
 
--- a/controller/pendingload.go
+++ b/controller/pendingload.go
@@ -30,7 +30,7 @@
 	// readBefore is how many prompt tokens the engine had read at grantedAt.
 	readBefore int
 	// stretches are those of the prompt.
-	stretches []promptcache.Stretch
+	stretches []promptcache.PromptPrefix
 	// tokens is the length of the prompt, unread the part of it that the engine did not
 	// keep at the grant.
 	tokens, unread int
--- a/controller/slots.go
+++ b/controller/slots.go
@@ -57,7 +57,7 @@
 func (s *slots) acquire(now time.Time, q *enginelink.Acquire, p *pin) *pendingRequest {
 	w := &pendingRequest{
 		grant: make(chan enginelink.Grant, 1), priority: q.Priority, pin: p,
-		usefulUntil: now.Add(time.Duration(q.UsefulMS) * time.Millisecond),
+		usefulUntil: now.Add(time.Duration(q.SlackMS) * time.Millisecond),
 	}
 	if p.key.Adapter == "" {
 		s.grant(now, 0, w)
@@ -158,7 +158,7 @@
 
 // unreadOf is the part of a prompt that the engine does not keep.
 func (s *slots) unreadOf(p *pin) int {
-	return max(0, p.tokens-s.kept.Kept(p.weights, p.stretches))
+	return max(0, p.tokens-s.kept.CachedTokens(p.weights, p.stretches))
 }
 
 // done ends the pin of a request that has ended.
--- a/directory/merge.go
+++ b/directory/merge.go
@@ -79,7 +79,7 @@
 	if it.Revision <= m.known(id) {
 		return lacked // pages of a whole read may have brought it ahead of its turn
 	}
-	if it.Gone {
+	if it.Deleted {
 		if !lacked {
 			return false // it has returned since, or it would not be held
 		}
--- a/directory/storereturn.go
+++ b/directory/storereturn.go
@@ -71,7 +71,7 @@
 	held, known := d.entries[id]
 	if !known {
 		ended, recorded := d.restore.ended[id]
-		return recorded && ended.instance.Is(instance.ID)
+		return recorded && ended.instance.Matches(instance.ID)
 	}
 	if held.item.Revision.Era() >= it.Revision.Era() {
 		return false
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -160,7 +160,7 @@
 		defer cancel()
 		end := <-done
 		if end.refusal == nil && err != nil {
-			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonAnswerBroken, err.Error(), noUpstreamPause)
+			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, err.Error(), noUpstreamPause)
 		}
 		e.answerWhole(r, end.result, end.refusal)
 		return
@@ -217,7 +217,7 @@
 		}
 		end := <-done
 		if end.refusal == nil && err != nil {
-			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonAnswerBroken, err.Error(), noUpstreamPause)
+			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, err.Error(), noUpstreamPause)
 		}
 		if end.refusal != nil {
 			writeErrorEvent(w, held.id, end.refusal)
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -71,7 +71,7 @@
 	j.attempt.Attempt = 1
 	for range maxAttempts {
 		if v := e.crashes.Decide(*j.attempt.Fingerprint, e.Connected()); v.Refused {
-			return wire.AttemptResult{}, worse(refusal, sandbarrow.NotRun(sandbarrow.ReasonEndsUpstreams, "upstreams have ended under this request", v.ExpiresIn))
+			return wire.AttemptResult{}, worse(refusal, sandbarrow.NotRun(sandbarrow.ReasonCrashesUpstreams, "upstreams have ended under this request", v.ExpiresIn))
 		}
 		index, ok := e.chooser.Choose(time.Now(), &j.route)
 		if !ok {
@@ -137,7 +137,7 @@
 		return e.settleOnce(ctx, j)
 	case err != nil:
 		return verdict{retry: true, refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost while it had the request", noUpstreamPause)}
-	case result.Outcome == sandbarrow.OutcomeWhole:
+	case result.Outcome == sandbarrow.OutcomeComplete:
 		return verdict{result: result}
 	case result.Claim != nil:
 		return e.settleClaimed(ctx, j, *result.Claim)
@@ -216,7 +216,7 @@
 	switch {
 	case err != nil || j.stream.any():
 		return unknown
-	case result.Outcome == sandbarrow.OutcomeWhole:
+	case result.Outcome == sandbarrow.OutcomeComplete:
 		if result.Origin == nil {
 			result.Origin = &wire.Origin{} // not told: this request's own would be a guess
 		}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		listed[b.ID] = true
-		leaving[b.ID] = b.State == sandbarrow.BoxLeaving
+		leaving[b.ID] = b.State == sandbarrow.BoxDraining
 	}
 	e.mu.Lock()
 	e.leaving = leaving
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -29,7 +29,7 @@
 }
 
 var statusByReason = map[sandbarrow.Reason]int{
-	sandbarrow.ReasonAnswerBroken:    http.StatusBadGateway,
+	sandbarrow.ReasonResponseBroken:    http.StatusBadGateway,
 	sandbarrow.ReasonBadRequest:      http.StatusBadRequest,
 	sandbarrow.ReasonClaimed:         http.StatusConflict,
 	sandbarrow.ReasonDeadline:        http.StatusGatewayTimeout,
--- a/entry/server.go
+++ b/entry/server.go
@@ -222,7 +222,7 @@
 
 // refuse ends a request with a problem body.
 func (e *Entry) refuse(r *request, refusal *sandbarrow.Refusal) {
-	if refusal.RetryAfter > 0 && refusal.Reason != sandbarrow.ReasonEndsUpstreams { // known to the second
+	if refusal.RetryAfter > 0 && refusal.Reason != sandbarrow.ReasonCrashesUpstreams { // known to the second
 		refusal.RetryAfter = clampRetry(refusal.RetryAfter)
 	}
 	writeProblem(r.ctx, r.id, refusal)
@@ -231,7 +231,7 @@
 
 // count records how a request ended; refusal is nil for a whole answer.
 func (e *Entry) count(r *request, refusal *sandbarrow.Refusal) {
-	class, outcome, reason := sandbarrow.CallerClass(""), sandbarrow.OutcomeWhole, sandbarrow.Reason("")
+	class, outcome, reason := sandbarrow.CallerClass(""), sandbarrow.OutcomeComplete, sandbarrow.Reason("")
 	if r.caller != nil {
 		class = r.caller.Class
 	}
--- a/estate/confirm.go
+++ b/estate/confirm.go
@@ -62,7 +62,7 @@
 
 // invalidate drops the confirmation and restarts rewriteWindow. It is called when a peer has a newer table
 // that the store has lost and the operators have not rewritten yet.
-func (c *confirmation) invalidate(watermark Mark) {
+func (c *confirmation) invalidate(watermark Watermark) {
 	c.at = time.Time{}
 	c.copyEnd, c.restoredAt = max(c.copyEnd, watermark.Revision), boottime.Now()
 }
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -84,7 +84,7 @@
 	// latest is the state with all items applied. view stays nil until there is a table; latest also keeps
 	// the versions that were named before that.
 	latest    View
-	watermark Mark
+	watermark Watermark
 }
 
 // New returns an estate without any state.
@@ -102,7 +102,7 @@
 
 // Watermark returns the revisions up to which this estate is complete, and a channel that is closed at the
 // next change.
-func (e *Estate) Mark() (Mark, <-chan struct{}) {
+func (e *Estate) Watermark() (Watermark, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.watermark, e.changed
@@ -110,7 +110,7 @@
 
 // Since returns the items that a peer with the given watermark may lack. With them the peer is complete up to
 // the returned watermark.
-func (e *Estate) Since(known Mark) ([]sandbarrow.KeyItem, Mark) {
+func (e *Estate) Since(known Watermark) ([]sandbarrow.KeyItem, Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var items []sandbarrow.KeyItem
@@ -132,7 +132,7 @@
 }
 
 // ApplyPeerChange applies changes sent by a peer, which are complete up to the given watermark.
-func (e *Estate) Learn(items []sandbarrow.KeyItem, watermark Mark) {
+func (e *Estate) Learn(items []sandbarrow.KeyItem, watermark Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.merge(fromPeer, items, watermark)
@@ -148,7 +148,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastResponse = time.Now()
-	e.merge(fromStore, items, Mark{Revision: at})
+	e.merge(fromStore, items, Watermark{Revision: at})
 }
 
 // source is the sender of a change, for log lines.
@@ -160,13 +160,13 @@
 )
 
 // merge applies the items that are newer than the known ones. The caller holds mu.
-func (e *Estate) merge(from source, items []sandbarrow.KeyItem, watermark Mark) {
+func (e *Estate) merge(from source, items []sandbarrow.KeyItem, watermark Watermark) {
 	e.confirmation.observeEra(watermark.Revision, items)
 	var changed []sandbarrow.KeyItem
 	for _, it := range items {
 		known, exists := e.items[it.Key]
 		switch {
-		case it.Gone: // a deleted key keeps its last value, since an older state must never return
+		case it.Deleted: // a deleted key keeps its last value, since an older state must never return
 		case exists && !e.supersedes(it, known):
 			e.ignoreOlder(from, it, known)
 		default:
--- a/estate/estate_test.go
+++ b/estate/estate_test.go
@@ -94,7 +94,7 @@
 				last = *v
 			}
 		}
-		items, watermark := ordered.Since(Mark{})
+		items, watermark := ordered.Since(Watermark{})
 		mixed.Update(items, watermark.Revision)
 		a, b := ordered.View(), mixed.View()
 		if (a == nil) != (b == nil) || a != nil && a.Revision != b.Revision {
@@ -112,10 +112,10 @@
 func TestSinceReturnsOnlyMissingItems(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{table(3, "1"), {Key: "a1", Revision: 5, Value: []byte("2")}}, 8)
-	items, watermark := e.Since(Mark{Revision: 3})
+	items, watermark := e.Since(Watermark{Revision: 3})
 	assert.Equal(t, len(items), 1)
 	assert.Equal(t, items[0].Key, "a1")
-	assert.DeepEqual(t, watermark, Mark{Revision: 8})
+	assert.DeepEqual(t, watermark, Watermark{Revision: 8})
 }
 
 func TestVersionNamedBeforeFirstTableIsKept(t *testing.T) {
@@ -132,7 +132,7 @@
 func TestLogNamesSourceOfConfiguration(t *testing.T) {
 	var lines strings.Builder
 	e := New(documents{}, slog.New(slog.NewTextHandler(&lines, nil)))
-	e.Learn([]sandbarrow.KeyItem{table(1, "4")}, Mark{Revision: 1})
+	e.Learn([]sandbarrow.KeyItem{table(1, "4")}, Watermark{Revision: 1})
 	assert.Assert(t, strings.Contains(lines.String(), "version=4 revision=1 from=peer"), lines.String())
 	assert.Assert(t, e.Answered().IsZero())
 	e.Update([]sandbarrow.KeyItem{table(2, "6")}, 2)
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -50,7 +50,7 @@
 	callerEnds, ends time.Time
 
 	key       sandbarrow.AdapterKey
-	stretches []promptcache.Stretch
+	stretches []promptcache.PromptPrefix
 	// tokens is the length of the prompt; 0 where the caller names none.
 	tokens int
 	// version is the least version of the adapter that may run; 0 for a base model alone,
@@ -143,7 +143,7 @@
 	names := &c.gateway.config.Headers
 	model, adapter, _ := strings.Cut(c.request.Header.Get(names.Model), "/")
 	c.key = sandbarrow.AdapterKey{Adapter: sandbarrow.AdapterID(adapter), Model: sandbarrow.BaseModelID(model)}
-	c.stretches = promptcache.Stretches(c.key, c.request.Header.Get(names.Prompt))
+	c.stretches = promptcache.PromptPrefixes(c.key, c.request.Header.Get(names.Prompt))
 	c.version = c.leastVersion()
 	c.tokens = c.readTokens(c.request.Header.Get(names.Tokens))
 	c.lastEvent = c.request.Header.Get(names.LastEvent)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -32,7 +32,7 @@
 	now := boottime.Now()
 	list := g.eligible(c, now, excluded, (*scratch)[:0])
 	*scratch = list
-	n := requirements{key: c.key, version: c.version, tokens: c.tokens, loads: g.loadTimes.ModelFor, movePerToken: c.service.Engine.MovePerToken, untilObjective: c.untilObjective()}
+	n := requirements{key: c.key, version: c.version, tokens: c.tokens, loads: g.loadTimes.ModelFor, movePerToken: c.service.Engine.MoveTimePerToken, untilObjective: c.untilObjective()}
 	best, ok := cheapest(list, &n)
 	if !ok {
 		return nil
--- a/gateway/crashkeeper.go
+++ b/gateway/crashkeeper.go
@@ -76,7 +76,7 @@
 // Update learns what gateways have written.
 func (k *crashKeeper) Update(items []sandbarrow.KeyItem, _ sandbarrow.StoreRevision) {
 	for _, it := range items {
-		if it.Gone {
+		if it.Deleted {
 			continue // each Log forgets by itself
 		}
 		var r keptRecord
@@ -96,7 +96,7 @@
 // keep writes what has changed and is worth it, and removes what is forgotten. What fails is
 // tried again.
 func (k *crashKeeper) keep(ctx context.Context) {
-	k.resetOnRestore(k.gateway.directory.Mark().Era())
+	k.resetOnRestore(k.gateway.directory.Watermark().Era())
 	least := 1
 	if k.gateway.engines.anyUp() {
 		least = keptFrom
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -67,7 +67,7 @@
 	}
 	table, err := route.NewTable(t.Version, t.Routes, []route.Service{
 		{ID: testPlain},
-		{ID: testEngines, HealthPath: "/health", Engine: &route.Engine{AdapterSlots: 2, MemoryTokens: 100_000, Models: []route.Model{{ID: testModel}}, MovePerToken: time.Microsecond}},
+		{ID: testEngines, HealthPath: "/health", Engine: &route.Engine{AdapterSlots: 2, KVCacheTokens: 100_000, Models: []route.Model{{ID: testModel}}, MoveTimePerToken: time.Microsecond}},
 	}, route.Limits{MaxBodyBytes: 1000, MaxHeaderBytes: 4000})
 	if err == nil && t.Workspaces != nil {
 		table.Keys = access.NewKeys(t.Workspaces)
@@ -118,7 +118,7 @@
 	// hang keeps requests without an answer.
 	hang bool
 	// announced is what it says of itself in each answer, as says names the instance that answers.
-	announced sandbarrow.AnnouncementTexts
+	announced sandbarrow.RawNotice
 	says      string
 	// refuse answers that requests did not run, status is the answer of others.
 	refuse bool
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -80,7 +80,7 @@
 	v.weights = l.status.Weights(c.key)
 	// Most engines have not loaded the adapter and keep nothing for it (BenchmarkChooseEngineForPrompt).
 	if v.weights.Model > 0 {
-		v.kept = l.kept.Kept(v.weights, c.stretches)
+		v.kept = l.kept.CachedTokens(v.weights, c.stretches)
 	}
 	return v
 }
@@ -94,10 +94,10 @@
 	if !l.usableLocked(now) || l.status.EngineUnreachable || l.status.Weights(c.key) != v {
 		return 0
 	}
-	if l.status.Instance != "" && !l.status.Instance.Is(in.ID) {
+	if l.status.Instance != "" && !l.status.Instance.Matches(in.ID) {
 		return 0
 	}
-	return l.kept.Kept(v, c.stretches)
+	return l.kept.CachedTokens(v, c.stretches)
 }
 
 // age is how old the last status is.
@@ -176,7 +176,7 @@
 	defer l.mu.Unlock()
 	before = l.status.Loads
 	s.Expand(&l.status)
-	started := s.Instance != "" && l.instance != "" && !s.Instance.Is(l.instance)
+	started := s.Instance != "" && l.instance != "" && !s.Instance.Matches(l.instance)
 	if len(s.Models) == 0 || started {
 		l.memory.Forget()
 	}
@@ -204,10 +204,10 @@
 }
 
 // applyKept follows what the engine keeps of the prompts it has read.
-func (l *linkState) applyKept(k *enginelink.Kept) {
+func (l *linkState) applyKept(k *enginelink.CachedPrompts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept.Apply(k.Changes, k.All)
+	l.kept.Apply(k.Changes, k.Complete)
 }
 
 // connection returns the connection to the controller, or nil.
--- a/gateway/passanswer.go
+++ b/gateway/passanswer.go
@@ -99,14 +99,14 @@
 	if !e.linked {
 		return
 	}
-	e.link.report(enginelink.MethodBegun, sandbarrow.RequestID(c.id))
+	e.link.report(enginelink.MethodResponseStarted, sandbarrow.RequestID(c.id))
 	e.link.addTokens(c.priority(), -c.unread)
 	c.unread = 0
 }
 
 // pausedTooLong reports whether a pause between two events makes the answer late.
 func (c *call) pausedTooLong(pause time.Duration) bool {
-	return c.route.LongestPause > 0 && pause > c.route.LongestPause
+	return c.route.EventGapTarget > 0 && pause > c.route.EventGapTarget
 }
 
 // reportPause reports that the engine has paused the stream for too long, so that its
--- a/gateway/progress.go
+++ b/gateway/progress.go
@@ -81,7 +81,7 @@
 // watchProgress cancels an attempt that makes no progress, if the request may be sent to
 // another engine.
 func (c *call) watchProgress(ctx context.Context, cancel context.CancelCauseFunc, e *candidate, p *progress) {
-	if !c.route.Repeatable() {
+	if !c.route.Retryable() {
 		return
 	}
 	ticker := time.NewTicker(progressCheckInterval)
--- a/gateway/retryrule.go
+++ b/gateway/retryrule.go
@@ -42,7 +42,7 @@
 	switch {
 	case a.sent == 0:
 		return sendFree
-	case a.ran > 0 && (!r.Repeatable() || a.ran >= r.MaxAttempts):
+	case a.ran > 0 && (!r.Retryable() || a.ran >= r.MaxAttempts):
 		return sendNever
 	case a.sent > r.MaxAttempts:
 		return sendNever
--- a/gateway/serveplain.go
+++ b/gateway/serveplain.go
@@ -95,7 +95,7 @@
 // may still be sent to another upstream, the attempt is limited to hedgeObjectiveFactor
 // times the objective.
 func (c *call) tryPlain(ctx context.Context, in *sandbarrow.Instance) (*wholeAnswer, error) {
-	if c.route.Repeatable() && c.ran+1 < c.route.MaxAttempts && c.route.Objective > 0 && c.route.Kind != route.KindStream {
+	if c.route.Retryable() && c.ran+1 < c.route.MaxAttempts && c.route.Objective > 0 && c.route.Kind != route.KindStream {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, hedgeObjectiveFactor*c.route.Objective)
 		defer cancel()
--- a/gateway/trust.go
+++ b/gateway/trust.go
@@ -67,7 +67,7 @@
 // stateAttributes describe how new the operators' state is by which a request had no route:
 // up to which revision it is complete, and for how long the store has answered nothing.
 func (g *Gateway) stateAttributes() []slog.Attr {
-	complete, _ := g.estate.Mark()
+	complete, _ := g.estate.Watermark()
 	return []slog.Attr{
 		slog.Any("complete_to", complete.Revision), slog.Int64("store_answered_ms", sinceMS(g.estate.Answered())),
 	}
@@ -102,7 +102,7 @@
 
 // storeEra returns the store's era when the list of upstreams was read.
 func (g *Gateway) storeEra() float64 {
-	return float64(g.directory.Mark().Era())
+	return float64(g.directory.Watermark().Era())
 }
 
 // confirmedSeconds is how long ago the configuration was known to be the newest, in
--- a/gateway/upstreams_test.go
+++ b/gateway/upstreams_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestWaitEndsOnceTheUpstreamAcceptsNoRequests(t *testing.T) {
-	for _, texts := range []sandbarrow.AnnouncementTexts{{Draining: "1"}, {Backoff: "1"}} {
+	for _, texts := range []sandbarrow.RawNotice{{Draining: "1"}, {Backoff: "1"}} {
 		g := newLoneGateway()
 		g.config.Announcements = platform.Announcements{}
 		in := &sandbarrow.Instance{ID: "u@1"}
--- a/instance.go
+++ b/instance.go
@@ -40,9 +40,9 @@
 	return UnixMillis(number)
 }
 
-// Is reports whether two ids may name the same start: those that do, and those of the same
+// Matches reports whether two ids may name the same start: those that do, and those of the same
 // upstream where one does not say when it started.
-func (i InstanceID) Is(other InstanceID) bool {
+func (i InstanceID) Matches(other InstanceID) bool {
 	if i == other {
 		return true
 	}
--- a/instance_test.go
+++ b/instance_test.go
@@ -17,7 +17,7 @@
 		{first, first, true}, {first, second, false}, {first, unknown, true}, {unknown, second, true}, {unknown, unknown, true},
 		{first, NewInstanceID("j", 100), false}, {unknown, NewInstanceID("j", 0), false},
 	} {
-		assert.Equal(t, test.a.Is(test.b), test.want, "%s and %s", test.a, test.b)
-		assert.Equal(t, test.b.Is(test.a), test.want, "%s and %s", test.b, test.a)
+		assert.Equal(t, test.a.Matches(test.b), test.want, "%s and %s", test.a, test.b)
+		assert.Equal(t, test.b.Matches(test.a), test.want, "%s and %s", test.b, test.a)
 	}
 }
--- a/internal/systest/abuse_test.go
+++ b/internal/systest/abuse_test.go
@@ -52,7 +52,7 @@
 	defer s.open(t.Context(), "slow", "5000").Close()
 	for range 20 {
 		c := s.start(streamOf(1)).wait(t)
-		assert.Equal(t, c.outcome, sandbarrow.OutcomeWhole, c.body)
+		assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, c.body)
 		assert.Assert(t, c.took < 2*time.Second, "took %v", c.took)
 	}
 	s.checker.verify("v1")
@@ -72,7 +72,7 @@
 		}
 	}
 	for _, k := range kinds {
-		assert.Equal(t, s.start(k.make("after "+k.name)).wait(t).outcome, sandbarrow.OutcomeWhole)
+		assert.Equal(t, s.start(k.make("after "+k.name)).wait(t).outcome, sandbarrow.OutcomeComplete)
 	}
 	s.checker.verify("v1")
 }
--- a/internal/systest/announcement_test.go
+++ b/internal/systest/announcement_test.go
@@ -41,7 +41,7 @@
 			if one.service {
 				backend = s.members[sh.engines].backend
 			}
-			assert.Equal(t, s.start(copyOf(one, "before", 0)).wait(t).outcome, sandbarrow.OutcomeWhole)
+			assert.Equal(t, s.start(copyOf(one, "before", 0)).wait(t).outcome, sandbarrow.OutcomeComplete)
 			until := time.Now().Add(announceBackoff)
 			s.faults(backend, standin.Faults{Backoff: fmt.Sprint(announceBackoff.Seconds())})
 			time.Sleep(announcePause)
@@ -60,7 +60,7 @@
 			assert.Check(t, refused <= announceOnTheWay, "%d requests while it wanted none", refused)
 			s.faults(backend, standin.Faults{})
 			time.Sleep(time.Until(until.Add(announceBack)))
-			assert.Equal(t, s.start(copyOf(one, "after", 0)).wait(t).outcome, sandbarrow.OutcomeWhole)
+			assert.Equal(t, s.start(copyOf(one, "after", 0)).wait(t).outcome, sandbarrow.OutcomeComplete)
 		})
 	}
 }
@@ -82,7 +82,7 @@
 					started = append(started, s.start(copyOf(one, fmt.Sprint(calls), 0)))
 				}
 				for _, c := range started {
-					if c.wait(t).outcome == sandbarrow.OutcomeWhole {
+					if c.wait(t).outcome == sandbarrow.OutcomeComplete {
 						whole++
 					}
 				}
@@ -116,12 +116,12 @@
 	backend := s.members[s.shape.engines].backend
 	one := call{service: true}
 	s.faults(backend, standin.Faults{Draining: "1"})
-	assert.Equal(t, s.start(copyOf(one, "first", 0)).wait(t).outcome, sandbarrow.OutcomeWhole)
+	assert.Equal(t, s.start(copyOf(one, "first", 0)).wait(t).outcome, sandbarrow.OutcomeComplete)
 	time.Sleep(announceSettled)
 	before := len(s.log(backend).Runs)
 	for i := range 20 {
 		c := s.start(copyOf(one, fmt.Sprint(i), 0)).wait(t)
-		assert.Check(t, c.outcome != sandbarrow.OutcomeWhole)
+		assert.Check(t, c.outcome != sandbarrow.OutcomeComplete)
 		checkRefusal(t, c)
 	}
 	late := len(s.log(backend).Runs) - before
--- a/internal/systest/bounds_test.go
+++ b/internal/systest/bounds_test.go
@@ -18,7 +18,7 @@
 		stop := s.drive(20*time.Millisecond, streamOf)
 		time.Sleep(time.Second)
 		m := s.members[0]
-		m.box.State = sandbarrow.BoxLeaving
+		m.box.State = sandbarrow.BoxDraining
 		s.publish()
 		last := s.lastRun(m, time.Now(), leaveLimit)
 		t.Logf("last new request %v after the list said leaving", last)
@@ -46,7 +46,7 @@
 			if i%2 == 0 {
 				c.onceKey, kind = fmt.Sprint(i), "once-only"
 			}
-			assert.Equal(t, s.start(c).wait(t).outcome, sandbarrow.OutcomeWhole)
+			assert.Equal(t, s.start(c).wait(t).outcome, sandbarrow.OutcomeComplete)
 			times[kind] = append(times[kind], c.took)
 		}
 		for _, took := range times {
--- a/internal/systest/caller_test.go
+++ b/internal/systest/caller_test.go
@@ -94,7 +94,7 @@
 	if _, event, ok := strings.Cut(c.body, "event: error\ndata: "); ok {
 		text = event
 	} else if c.status == http.StatusOK {
-		c.outcome = sandbarrow.OutcomeWhole
+		c.outcome = sandbarrow.OutcomeComplete
 		return
 	}
 	if err := json.Unmarshal([]byte(text), &c.problem); err != nil && c.err == nil {
--- a/internal/systest/checker_test.go
+++ b/internal/systest/checker_test.go
@@ -69,7 +69,7 @@
 			report("once-only %q ran %d times", c.content, len(runs[c.tag()]))
 		}
 		switch c.outcome {
-		case sandbarrow.OutcomeWhole:
+		case sandbarrow.OutcomeComplete:
 			faults = append(faults, checkWhole(c, runs[c.tag()])...)
 		case sandbarrow.OutcomeNotRun:
 			if ids[string(c.problem.RequestID)] {
--- a/internal/systest/checkerself_test.go
+++ b/internal/systest/checkerself_test.go
@@ -15,7 +15,7 @@
 func TestCheckerCatches(t *testing.T) {
 	good := func() (*call, standin.Log) {
 		c := &call{
-			adapter: "a", content: "p", onceKey: "k", outcome: sandbarrow.OutcomeWhole, stream: true, tokens: 2,
+			adapter: "a", content: "p", onceKey: "k", outcome: sandbarrow.OutcomeComplete, stream: true, tokens: 2,
 			header: http.Header{"Sandbarrow-Model": {"a@v1"}},
 		}
 		c.body = `"model":"a@v1" ` + c.tag() + " t1 data: [DONE]\n\n"
--- a/internal/systest/configuration_test.go
+++ b/internal/systest/configuration_test.go
@@ -94,7 +94,7 @@
 		s.faults(s.kv, standin.Faults{})
 		await.Until(t, 10*time.Second, "an answer under v2", func() bool {
 			c := s.start(streamOf(1)).wait(t)
-			return c.outcome == sandbarrow.OutcomeWhole && c.header.Get("Sandbarrow-Model") == string(c.adapter)+"@v2"
+			return c.outcome == sandbarrow.OutcomeComplete && c.header.Get("Sandbarrow-Model") == string(c.adapter)+"@v2"
 		})
 		s.checker.verify("v2")
 	})
--- a/internal/systest/fatal_test.go
+++ b/internal/systest/fatal_test.go
@@ -33,8 +33,8 @@
 		c := fatal
 		c.entry = i % sh.entries
 		last = s.start(&c).wait(t)
-		assert.Assert(t, last.outcome != sandbarrow.OutcomeWhole)
-		if last.problem.Reason == sandbarrow.ReasonEndsUpstreams {
+		assert.Assert(t, last.outcome != sandbarrow.OutcomeComplete)
+		if last.problem.Reason == sandbarrow.ReasonCrashesUpstreams {
 			refused++
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -55,6 +55,6 @@
 	for i := range sh.entries {
 		c := other
 		c.entry = i
-		assert.Equal(t, s.start(&c).wait(t).outcome, sandbarrow.OutcomeWhole)
+		assert.Equal(t, s.start(&c).wait(t).outcome, sandbarrow.OutcomeComplete)
 	}
 }
--- a/internal/systest/limit_test.go
+++ b/internal/systest/limit_test.go
@@ -46,7 +46,7 @@
 			if one.service {
 				backend = s.members[sh.engines].backend
 			}
-			assert.Equal(t, s.start(copyOf(one, "before", 0)).wait(t).outcome, sandbarrow.OutcomeWhole)
+			assert.Equal(t, s.start(copyOf(one, "before", 0)).wait(t).outcome, sandbarrow.OutcomeComplete)
 			s.faults(backend, standin.Faults{Limit: fmt.Sprint(limitRate)})
 			runs := watchRuns(t, s, backend)
 			var calls []*call
@@ -66,7 +66,7 @@
 			}
 			served := 0
 			for _, c := range after {
-				if c.wait(t).outcome == sandbarrow.OutcomeWhole {
+				if c.wait(t).outcome == sandbarrow.OutcomeComplete {
 					served++
 				}
 			}
@@ -135,7 +135,7 @@
 // when to come back.
 func checkRefusal(t *testing.T, c *call) {
 	t.Helper()
-	if c.outcome == sandbarrow.OutcomeWhole {
+	if c.outcome == sandbarrow.OutcomeComplete {
 		return
 	}
 	assert.Check(t, c.outcome == sandbarrow.OutcomeNotRun && c.problem.RetryAfterMS > 0 && c.took < limitRefusal,
--- a/internal/systest/matrix_test.go
+++ b/internal/systest/matrix_test.go
@@ -248,7 +248,7 @@
 	sh.loadTime, sh.maxRunning, sh.work = 150*time.Millisecond, 2, 150*time.Millisecond
 	s := startSystem(t, sh)
 	warm := s.start(k.make("warm")).wait(t)
-	assert.Equal(t, warm.outcome, sandbarrow.OutcomeWhole, warm.body)
+	assert.Equal(t, warm.outcome, sandbarrow.OutcomeComplete, warm.body)
 	target := s.runner(warm)
 	c := steps[step](s, k)
 	if step == "load" {
@@ -263,7 +263,7 @@
 	s.faults(s.kv, standin.Faults{})
 	c.wait(t)
 	// A caller that was left without a whole answer sends its request again.
-	if c.outcome != sandbarrow.OutcomeWhole || step == "acknowledge" {
+	if c.outcome != sandbarrow.OutcomeComplete || step == "acknowledge" {
 		again := k.make("main")
 		again.adapter = c.adapter
 		s.start(again).wait(t)
@@ -278,7 +278,7 @@
 	n := 0
 	await.Until(s.t, 10*time.Second, "whole answers again", func() bool {
 		n++
-		return s.start(k.make(fmt.Sprintf("after %d", n))).wait(s.t).outcome == sandbarrow.OutcomeWhole
+		return s.start(k.make(fmt.Sprintf("after %d", n))).wait(s.t).outcome == sandbarrow.OutcomeComplete
 	})
 }
 
--- a/internal/systest/repeat_test.go
+++ b/internal/systest/repeat_test.go
@@ -20,14 +20,14 @@
 	for name, c := range kinds {
 		c.adapter = adapter(1)
 		first[name] = s.start(&c).wait(t)
-		assert.Equal(t, first[name].outcome, sandbarrow.OutcomeWhole, "%s", c.body)
+		assert.Equal(t, first[name].outcome, sandbarrow.OutcomeComplete, "%s", c.body)
 	}
 	s.apply("v2", 1)
 	s.waitRevision(2)
 	for name, c := range kinds {
 		c.adapter = adapter(1)
 		repeat := s.start(&c).wait(t)
-		assert.Equal(t, repeat.outcome, sandbarrow.OutcomeWhole, "%s", repeat.body)
+		assert.Equal(t, repeat.outcome, sandbarrow.OutcomeComplete, "%s", repeat.body)
 		assert.Equal(t, repeat.body, first[name].body, name)
 		for _, header := range []string{"Sandbarrow-Model", "Sandbarrow-Revision"} {
 			assert.Check(t, repeat.header.Get(header) == first[name].header.Get(header),
--- a/internal/systest/stops_test.go
+++ b/internal/systest/stops_test.go
@@ -49,19 +49,19 @@
 func wholeCalls(t *testing.T, calls []*call) {
 	t.Helper()
 	for _, c := range calls {
-		assert.Equal(t, c.outcome, sandbarrow.OutcomeWhole, "%s: %d %v %s", c.content, c.status, c.err, c.body)
+		assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, "%s: %d %v %s", c.content, c.status, c.err, c.body)
 	}
 }
 
 func TestFaultMatrixLeave(t *testing.T) {
 	for name, announce := range map[string]func(s *system, m *member){
 		"list": func(s *system, m *member) {
-			m.box.State = sandbarrow.BoxLeaving
+			m.box.State = sandbarrow.BoxDraining
 			s.publish()
 		},
 		"list-with-store-down": func(s *system, m *member) {
 			s.faults(s.kv, standin.Faults{Down: true})
-			m.box.State = sandbarrow.BoxLeaving
+			m.box.State = sandbarrow.BoxDraining
 			s.publish()
 		},
 		"signal-with-list-down": func(s *system, m *member) {
@@ -180,13 +180,13 @@
 			t.Parallel()
 			s := startSystem(t, defaultShape())
 			warm := s.start(&call{adapter: adapter(1), content: "warm", tokens: 5}).wait(t)
-			assert.Equal(t, warm.outcome, sandbarrow.OutcomeWhole)
+			assert.Equal(t, warm.outcome, sandbarrow.OutcomeComplete)
 			frozen := s.runner(warm)
 			frozen.process.signal(t, syscall.SIGSTOP)
 			c := s.start(&call{adapter: adapter(1), content: "main", onceKey: once, tokens: 5}).wait(t)
 			frozen.process.signal(t, syscall.SIGCONT)
 			time.Sleep(time.Second) // a late copy would run now
-			assert.Equal(t, c.outcome, sandbarrow.OutcomeWhole, c.body)
+			assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, c.body)
 			assert.Assert(t, c.took < 4*time.Second, "took %v", c.took)
 			s.checker.verify("v1")
 		})
@@ -218,7 +218,7 @@
 	sh := defaultShape()
 	sh.engines = 1
 	s := startSystem(t, sh)
-	assert.Equal(t, s.start(kinds[0].make("warm")).wait(t).outcome, sandbarrow.OutcomeWhole)
+	assert.Equal(t, s.start(kinds[0].make("warm")).wait(t).outcome, sandbarrow.OutcomeComplete)
 	s.faults(s.members[0].backend, standin.Faults{Restart: true})
 	s.faults(s.members[0].backend, standin.Faults{})
 	s.normal(kinds[0])
@@ -258,8 +258,8 @@
 	}
 	s.checker.verify("v1")
 	t.Logf("%v", seen)
-	assert.Assert(t, seen[sandbarrow.OutcomeUnknown] < seen[sandbarrow.OutcomeWhole]/10, "%v", seen)
-	assert.Assert(t, seen[sandbarrow.OutcomeWhole] > 200 && seen[sandbarrow.OutcomeNotRun] > 200, "%v", seen)
+	assert.Assert(t, seen[sandbarrow.OutcomeUnknown] < seen[sandbarrow.OutcomeComplete]/10, "%v", seen)
+	assert.Assert(t, seen[sandbarrow.OutcomeComplete] > 200 && seen[sandbarrow.OutcomeNotRun] > 200, "%v", seen)
 }
 
 func TestOrdersInOutage(t *testing.T) {
@@ -273,22 +273,22 @@
 				return s.start(&call{adapter: adapter(i), content: content, deadline: 4 * time.Second, tokens: 5}).wait(t)
 			}
 			for i := range 2 {
-				assert.Equal(t, ask(i, fmt.Sprint("warm ", i)).outcome, sandbarrow.OutcomeWhole)
+				assert.Equal(t, ask(i, fmt.Sprint("warm ", i)).outcome, sandbarrow.OutcomeComplete)
 			}
 			s.faults(s.kv, standin.Faults{Down: true})
 			time.Sleep(outage)
 			orders := len(s.log(s.members[0].backend).Orders)
 			cold := ask(2, "cold")
-			assert.Equal(t, ask(0, "loaded").outcome == sandbarrow.OutcomeWhole, true)
+			assert.Equal(t, ask(0, "loaded").outcome == sandbarrow.OutcomeComplete, true)
 			if checks {
-				assert.Equal(t, cold.outcome, sandbarrow.OutcomeWhole, cold.body)
+				assert.Equal(t, cold.outcome, sandbarrow.OutcomeComplete, cold.body)
 			} else {
 				assert.Equal(t, cold.outcome, sandbarrow.OutcomeNotRun, cold.body)
 				assert.Equal(t, len(s.log(s.members[0].backend).Orders), orders, "an order without a lease")
 			}
 			s.faults(s.kv, standin.Faults{})
 			await.Until(t, 10*time.Second, "a cold adapter is loaded again", func() bool {
-				return ask(3, "after").outcome == sandbarrow.OutcomeWhole
+				return ask(3, "after").outcome == sandbarrow.OutcomeComplete
 			})
 			s.checker.verify("v1")
 		})
@@ -304,7 +304,7 @@
 	s.start(&call{adapter: adapter(1), content: "lost", tokens: 5}).wait(t)
 	await.Until(t, 8*time.Second, "another adapter gets the slot", func() bool {
 		c := s.start(&call{adapter: adapter(2), content: "main", deadline: 3 * time.Second, tokens: 5}).wait(t)
-		return c.outcome == sandbarrow.OutcomeWhole
+		return c.outcome == sandbarrow.OutcomeComplete
 	})
 	s.checker.verify("v1")
 }
--- a/internal/systest/wholepath_test.go
+++ b/internal/systest/wholepath_test.go
@@ -38,7 +38,7 @@
 	assert.Assert(t, len(calls) > 50)
 	s.checker.verify("v1")
 	for _, c := range calls {
-		assert.Equal(t, c.outcome, sandbarrow.OutcomeWhole, "%s: %s", c.content, c.body)
+		assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, "%s: %s", c.content, c.body)
 	}
 }
 
--- a/outcome.go
+++ b/outcome.go
@@ -11,8 +11,8 @@
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeWhole means that the caller has the whole answer.
-	OutcomeWhole Outcome = "whole"
+	// OutcomeComplete means that the caller has the whole answer.
+	OutcomeComplete Outcome = "whole"
 )
 
 // Refusal is the error of a request that ends without a whole answer.
@@ -32,14 +32,14 @@
 
 // The reasons of a Refusal.
 const (
-	ReasonAnswerBroken  Reason = "answer-broken"
+	ReasonResponseBroken  Reason = "answer-broken"
 	ReasonBadRequest    Reason = "bad-request"
 	ReasonClaimed       Reason = "claimed"
 	ReasonConfiguration Reason = "configuration"
 	ReasonDeadline      Reason = "deadline"
 	ReasonDraining      Reason = "draining"
-	// ReasonEndsUpstreams is a request under which upstreams have ended.
-	ReasonEndsUpstreams   Reason = "ends-upstreams"
+	// ReasonCrashesUpstreams is a request under which upstreams have ended.
+	ReasonCrashesUpstreams   Reason = "ends-upstreams"
 	ReasonIncarnation     Reason = "incarnation"
 	ReasonLoadFailed      Reason = "load-failed"
 	ReasonNoUpstream      Reason = "no-upstream"
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -37,11 +37,11 @@
 	Adapter  sandbarrow.AdapterID
 	Caller   sandbarrow.CallerID
 	Class    sandbarrow.CallerClass
-	ClassPri int
+	ClassPriority int
 	// Latest is the adapter's last version.
 	Latest sandbarrow.VersionID
-	// Marked says that the caller marked the request once-only.
-	Marked bool
+	// MarkedAtMostOnce says that the caller marked the request once-only.
+	MarkedAtMostOnce bool
 	// Percent is 0 to 99, stable per caller and adapter, for rollouts.
 	Percent int
 }
@@ -144,13 +144,13 @@
 // Once says whether a request must not be repeated.
 func (p *Policy) Once(r *Request) (bool, error) {
 	if p.once == nil {
-		return r.Marked, nil
+		return r.MarkedAtMostOnce, nil
 	}
 	v, err := eval(p.once, r.variables())
 	if err != nil {
 		return false, err
 	}
-	return r.Marked || v.Value().(bool), nil
+	return r.MarkedAtMostOnce || v.Value().(bool), nil
 }
 
 // Place says whether an upstream may serve a class.
@@ -173,7 +173,7 @@
 // Priority gives a request's priority, 0 the most urgent.
 func (p *Policy) Priority(r *Request) (int, error) {
 	if p.priority == nil {
-		return r.ClassPri, nil
+		return r.ClassPriority, nil
 	}
 	v, err := eval(p.priority, r.variables())
 	if err != nil {
@@ -199,9 +199,9 @@
 		"adapter":        string(r.Adapter),
 		"caller":         string(r.Caller),
 		"class":          string(r.Class),
-		"class_priority": int64(r.ClassPri),
+		"class_priority": int64(r.ClassPriority),
 		"latest":         string(r.Latest),
-		"marked":         r.Marked,
+		"marked":         r.MarkedAtMostOnce,
 		"percent":        int64(r.Percent),
 	}
 }
--- a/prefixstore.go
+++ b/prefixstore.go
@@ -14,8 +14,8 @@
 // KeyItem is one key of a PrefixStore as it stood at Revision.
 type KeyItem struct {
 	Key string
-	// Gone says that the key was removed at Revision.
-	Gone     bool
+	// Deleted says that the key was removed at Revision.
+	Deleted     bool
 	Revision StoreRevision
 	Value    []byte
 }
--- a/promptcache/memory.go
+++ b/promptcache/memory.go
@@ -42,7 +42,7 @@
 
 // Use notes that the engine has read a prompt with weights of a version. Where that is not
 // known, nothing is kept: what was read may not be used again.
-func (m *Memory) Use(k sandbarrow.AdapterKey, v sandbarrow.WeightsVersion, stretches []Stretch) {
+func (m *Memory) Use(k sandbarrow.AdapterKey, v sandbarrow.WeightsVersion, stretches []PromptPrefix) {
 	if !v.Known(k) {
 		return
 	}
@@ -70,8 +70,8 @@
 	m.shrink()
 }
 
-// Kept is how many tokens from the start of a prompt are kept for weights of a version.
-func (m *Memory) Kept(v sandbarrow.WeightsVersion, stretches []Stretch) int {
+// CachedTokens is how many tokens from the start of a prompt are kept for weights of a version.
+func (m *Memory) CachedTokens(v sandbarrow.WeightsVersion, stretches []PromptPrefix) int {
 	return longest(v, stretches, func(k Key) bool { return m.entries[k] != nil })
 }
 
--- a/promptcache/mirror.go
+++ b/promptcache/mirror.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Kept is how many tokens from the start of a prompt are kept for weights of a version.
-func (m *Mirror) Kept(v sandbarrow.WeightsVersion, stretches []Stretch) int {
+// CachedTokens is how many tokens from the start of a prompt are kept for weights of a version.
+func (m *Mirror) CachedTokens(v sandbarrow.WeightsVersion, stretches []PromptPrefix) int {
 	return longest(v, stretches, func(k Key) bool {
 		_, ok := m.kept[k]
 		return ok
--- a/promptcache/promptcache.go
+++ b/promptcache/promptcache.go
@@ -34,8 +34,8 @@
 	return Key(xxhash.Sum64(text[:]))
 }
 
-// Stretch is a prompt from its start up to the end of one part.
-type Stretch struct {
+// PromptPrefix is a prompt from its start up to the end of one part.
+type PromptPrefix struct {
 	// Own says that the last part belongs to the request alone, or to its session.
 	Own    bool   `json:"o,omitempty"`
 	Prefix Prefix `json:"h"`
@@ -48,17 +48,17 @@
 // is followed is told to all gateways.
 const leastShared = 1000
 
-// Stretches returns the stretches of a prompt for an adapter, the shortest first, from its
+// PromptPrefixes returns the stretches of a prompt for an adapter, the shortest first, from its
 // list of parts: ID:TOKENS, separated by commas. It returns none where the shared parts are too
 // short to matter. What is malformed ends the list: a request is served without an
 // estimate.
-func Stretches(k sandbarrow.AdapterKey, parts string) []Stretch {
+func PromptPrefixes(k sandbarrow.AdapterKey, parts string) []PromptPrefix {
 	if parts == "" {
 		return nil
 	}
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(k.Model) + "/" + string(k.Adapter)) // a digest never fails
-	var list []Stretch
+	var list []PromptPrefix
 	length := 0
 	for part := range strings.SplitSeq(parts, ",") {
 		id, text, _ := strings.Cut(strings.TrimSpace(part), ":")
@@ -68,7 +68,7 @@
 		}
 		_, _ = digest.WriteString("," + id)
 		length += tokens
-		list = append(list, Stretch{Prefix: Prefix(digest.Sum64()), Tokens: length})
+		list = append(list, PromptPrefix{Prefix: Prefix(digest.Sum64()), Tokens: length})
 	}
 	if len(list) < 2 || list[len(list)-2].Tokens < leastShared {
 		return nil
@@ -86,7 +86,7 @@
 
 // longest returns the tokens of the longest stretch that is kept of those read with
 // weights of a version.
-func longest(v sandbarrow.WeightsVersion, stretches []Stretch, kept func(Key) bool) int {
+func longest(v sandbarrow.WeightsVersion, stretches []PromptPrefix, kept func(Key) bool) int {
 	for i := len(stretches) - 1; i >= 0; i-- {
 		if kept(stretches[i].Prefix.key(v)) {
 			return stretches[i].Tokens
--- a/promptcache/promptcache_test.go
+++ b/promptcache/promptcache_test.go
@@ -28,18 +28,18 @@
 		"ab:400,cd:500,ef:7":    {},
 	} {
 		got := []int{}
-		for _, s := range Stretches(adapter("a"), parts) {
+		for _, s := range PromptPrefixes(adapter("a"), parts) {
 			got = append(got, s.Tokens)
 		}
 		assert.DeepEqual(t, got, lengths)
 	}
-	a := Stretches(adapter("a"), "ab:1000,cd:50,ef:7")
+	a := PromptPrefixes(adapter("a"), "ab:1000,cd:50,ef:7")
 	assert.DeepEqual(t, []bool{a[0].Own, a[1].Own, a[2].Own}, []bool{false, false, true})
-	same := Stretches(adapter("a"), "ab:1000,cd:50,99:7")
+	same := PromptPrefixes(adapter("a"), "ab:1000,cd:50,99:7")
 	assert.Equal(t, same[1].Prefix, a[1].Prefix)
 	assert.Assert(t, same[2].Prefix != a[2].Prefix)
-	for _, other := range [][]Stretch{
-		Stretches(adapter("b"), "ab:1000,cd:50"), Stretches(adapter("a"), "cd:1000,cd:50"),
+	for _, other := range [][]PromptPrefix{
+		PromptPrefixes(adapter("b"), "ab:1000,cd:50"), PromptPrefixes(adapter("a"), "cd:1000,cd:50"),
 	} {
 		assert.Assert(t, other[0].Prefix != a[0].Prefix, "another adapter, or another start")
 		assert.Assert(t, other[1].Prefix != a[1].Prefix)
@@ -56,7 +56,7 @@
 	var mirror Mirror
 	m.SetCapacity(100_000)
 	k := adapter("a")
-	s := Stretches(k, "s:1000,x:10")
+	s := PromptPrefixes(k, "s:1000,x:10")
 	versions := []sandbarrow.WeightsVersion{{Adapter: 1, Model: 1}, {Adapter: 1, Model: 7}, {Adapter: 2, Model: 1}}
 	for i, v := range versions {
 		m.Use(k, v, s)
@@ -67,20 +67,20 @@
 			if j <= i {
 				want = 1000
 			}
-			assert.Equal(t, mirror.Kept(other, s), want)
-			assert.Equal(t, m.Kept(other, s) > 0, j <= i)
+			assert.Equal(t, mirror.CachedTokens(other, s), want)
+			assert.Equal(t, m.CachedTokens(other, s) > 0, j <= i)
 		}
 	}
 	m.Clear()
 	for _, v := range []sandbarrow.WeightsVersion{{}, {Adapter: 1}, {Model: 1}} {
 		m.Use(k, v, s)
-		assert.Equal(t, m.Kept(v, s), 0, "%+v says not which weights of an adapter run", v)
+		assert.Equal(t, m.CachedTokens(v, s), 0, "%+v says not which weights of an adapter run", v)
 	}
 	base := sandbarrow.AdapterKey{Model: "base"}
-	s = Stretches(base, "s:1000,x:10")
+	s = PromptPrefixes(base, "s:1000,x:10")
 	m.Use(base, sandbarrow.WeightsVersion{Model: 7}, s)
-	assert.Equal(t, m.Kept(sandbarrow.WeightsVersion{Model: 7}, s), 1010, "the base model alone")
-	assert.Equal(t, m.Kept(sandbarrow.WeightsVersion{Model: 1}, s), 0)
+	assert.Equal(t, m.CachedTokens(sandbarrow.WeightsVersion{Model: 7}, s), 1010, "the base model alone")
+	assert.Equal(t, m.CachedTokens(sandbarrow.WeightsVersion{Model: 1}, s), 0)
 }
 
 // first is the version of the weights in tests where it does not matter.
@@ -88,25 +88,25 @@
 
 func TestMemory(t *testing.T) {
 	var m Memory
-	prompt := func(k, parts string) []Stretch { return Stretches(adapter(k), parts) }
+	prompt := func(k, parts string) []PromptPrefix { return PromptPrefixes(adapter(k), parts) }
 	use := func(k, parts string) { m.Use(adapter(k), first, prompt(k, parts)) }
 	use("a", "s:1000,x:10")
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,y:10")), 0, "its capacity is not known")
+	assert.Equal(t, m.CachedTokens(first, prompt("a", "s:1000,y:10")), 0, "its capacity is not known")
 	m.SetCapacity(4000)
 	use("a", "s:1000,x:10")
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,y:10")), 1000)
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,x:10")), 1010, "its own part too")
-	assert.Equal(t, m.Kept(first, prompt("b", "s:1000,x:10")), 0, "another adapter")
+	assert.Equal(t, m.CachedTokens(first, prompt("a", "s:1000,y:10")), 1000)
+	assert.Equal(t, m.CachedTokens(first, prompt("a", "s:1000,x:10")), 1010, "its own part too")
+	assert.Equal(t, m.CachedTokens(first, prompt("b", "s:1000,x:10")), 0, "another adapter")
 	use("b", "s:1000,x:1500")
 	use("a", "s:1000,z:10")
 	use("c", "s:1000,w:1")
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,z:10")), 1010)
-	assert.Equal(t, m.Kept(first, prompt("b", "s:1000,x:1500")), 1000, "the part unused longest gave way")
+	assert.Equal(t, m.CachedTokens(first, prompt("a", "s:1000,z:10")), 1010)
+	assert.Equal(t, m.CachedTokens(first, prompt("b", "s:1000,x:1500")), 1000, "the part unused longest gave way")
 	m.Drop(adapter("a"))
-	assert.Equal(t, m.Kept(first, prompt("a", "s:1000,z:10")), 0)
-	assert.Equal(t, m.Kept(first, prompt("c", "s:1000,z:10")), 1000)
+	assert.Equal(t, m.CachedTokens(first, prompt("a", "s:1000,z:10")), 0)
+	assert.Equal(t, m.CachedTokens(first, prompt("c", "s:1000,z:10")), 1000)
 	m.Clear()
-	assert.Equal(t, m.Kept(first, prompt("c", "s:1000,z:10")), 0)
+	assert.Equal(t, m.CachedTokens(first, prompt("c", "s:1000,z:10")), 0)
 	assert.Equal(t, m.used, 0)
 }
 
@@ -128,7 +128,7 @@
 				at = next
 			default:
 				k := name()
-				memory.Use(adapter(k), first, Stretches(adapter(k), fmt.Sprintf("%x:900,%x:200,%x:90", random.IntN(3), random.IntN(3), random.IntN(1000))))
+				memory.Use(adapter(k), first, PromptPrefixes(adapter(k), fmt.Sprintf("%x:900,%x:200,%x:90", random.IntN(3), random.IntN(3), random.IntN(1000))))
 			}
 			assert.Assert(t, memory.used <= 15_000)
 		}
@@ -137,8 +137,8 @@
 		for k := range 5 {
 			for i := range 3 {
 				for j := range 3 {
-					s := Stretches(adapter(fmt.Sprint(k)), fmt.Sprintf("%x:900,%x:200,none:90", i, j))
-					assert.Equal(t, mirror.Kept(first, s), memory.Kept(first, s))
+					s := PromptPrefixes(adapter(fmt.Sprint(k)), fmt.Sprintf("%x:900,%x:200,none:90", i, j))
+					assert.Equal(t, mirror.CachedTokens(first, s), memory.CachedTokens(first, s))
 				}
 			}
 		}
--- a/route/route.go
+++ b/route/route.go
@@ -39,9 +39,9 @@
 type Route struct {
 	Host string
 	Kind Kind
-	// LongestPause is the longest pause between two events of a stream with which its
+	// EventGapTarget is the longest pause between two events of a stream with which its
 	// answer earns full credit; 0 where none is named.
-	LongestPause time.Duration
+	EventGapTarget time.Duration
 	// MaxAttempts is the largest number of upstreams for one request.
 	MaxAttempts int
 	Name        string
@@ -59,8 +59,8 @@
 	Timeout time.Duration
 }
 
-// Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
@@ -89,12 +89,12 @@
 type Engine struct {
 	// AdapterSlots is the number of adapters that an engine holds at once.
 	AdapterSlots int
-	// MemoryTokens is how many tokens an engine's memory holds, of running requests and
+	// KVCacheTokens is how many tokens an engine's memory holds, of running requests and
 	// of prompts that it keeps; 0 where that is not known.
-	MemoryTokens int
-	// MovePerToken is the time to move one token of an engine's memory to another
+	KVCacheTokens int
+	// MoveTimePerToken is the time to move one token of an engine's memory to another
 	// engine; 0 where engines can't do that.
-	MovePerToken time.Duration
+	MoveTimePerToken time.Duration
 	Models       []Model
 }
 
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -76,6 +76,6 @@
 		{Route{Kind: KindStream, Resumable: true}, true},
 		{Route{Kind: KindUnsafe, Resumable: true}, false},
 	} {
-		assert.Equal(t, tc.route.Repeatable(), tc.want, "%+v", tc.route)
+		assert.Equal(t, tc.route.Retryable(), tc.want, "%+v", tc.route)
 	}
 }
--- a/schedule/admission.go
+++ b/schedule/admission.go
@@ -7,13 +7,13 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// GiveUp decides which waiting tickets can't meet their deadline any more, removes and
+// DropUnmeetable decides which waiting tickets can't meet their deadline any more, removes and
 // returns them: too little time is left to run, or the loads that go before theirs
 // take too long.
 //
 // Inputs: the deadlines, the measured times of a run and of a load, the pace of loads
 // while others wait, and how overdue the next load is.
-func (s *Scheduler) GiveUp(now time.Time) []*Ticket {
+func (s *Scheduler) DropUnmeetable(now time.Time) []*Ticket {
 	var hopeless []*Ticket
 	soonest := now.Add(s.runTime(now))
 	for _, g := range s.groups {
--- a/schedule/replayrunner_test.go
+++ b/schedule/replayrunner_test.go
@@ -68,7 +68,7 @@
 // report gives the fleet what an agent's status holds.
 func (u *runner) report(now time.Time) {
 	st := u.scheduler.Stats(now)
-	u.replay.fleet.SetLoad(u.index, placement.Load{LoadTime: st.LoadWait, Queued: st.Queued, Running: st.Running, ServiceTime: st.Service})
+	u.replay.fleet.SetLoad(u.index, placement.Load{LoadTime: st.LoadWait, Queued: st.Queued, Running: st.Running, ServiceTime: st.RunTime})
 	resident := u.scheduler.Resident()
 	hashes := make([]uint64, len(resident))
 	for i, m := range resident {
@@ -104,14 +104,14 @@
 }
 
 func (u *runner) pump(now time.Time) {
-	for _, t := range u.scheduler.GiveUp(now) {
+	for _, t := range u.scheduler.DropUnmeetable(now) {
 		f := u.flights[t]
 		u.drop(f)
 		u.replay.result.refuse(now, f)
 	}
 	for t := u.scheduler.NextStart(now); t != nil; t = u.scheduler.NextStart(now) {
 		f := u.flights[t]
-		f.stalled += t.Stalled
+		f.stalled += t.StallTime
 		u.running = append(u.running, f)
 		u.replay.result.begin(now, f)
 	}
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -54,13 +54,13 @@
 
 // Stats are measurements of one scheduler.
 type Stats struct {
-	// Load is the time of one load.
-	Load time.Duration
+	// LoadTime is the time of one load.
+	LoadTime time.Duration
 	// LoadWait is the expected time until a new adapter would be loaded.
 	LoadWait time.Duration
 	Queued   int
 	Running  int
-	Service  time.Duration
+	RunTime  time.Duration
 }
 
 // Scheduler decides for one upstream: admission.go who is admitted and who is given
@@ -134,8 +134,8 @@
 	}
 }
 
-// Keep protects a loaded model from unloading until a time.
-func (s *Scheduler) Keep(model sandbarrow.ModelRef, until time.Time) {
+// Protect protects a loaded model from unloading until a time.
+func (s *Scheduler) Protect(model sandbarrow.ModelRef, until time.Time) {
 	if sl := s.slots[model]; sl != nil && sl.keepUntil.Before(until) {
 		sl.keepUntil = until
 	}
@@ -169,7 +169,7 @@
 		sl.lastUsed = now
 		t.slot = sl
 		if t.Stall {
-			t.Stalled = sl.loadedAt.Sub(t.Arrived)
+			t.StallTime = sl.loadedAt.Sub(t.Arrived)
 		}
 	}
 	return t
@@ -231,7 +231,7 @@
 
 // Stats returns the measurements.
 func (s *Scheduler) Stats(now time.Time) Stats {
-	st := Stats{Load: s.load.get(now), Queued: s.queued, Running: s.running, Service: s.runTime(now)}
+	st := Stats{LoadTime: s.load.get(now), Queued: s.queued, Running: s.running, RunTime: s.runTime(now)}
 	st.LoadWait = s.loadWait(now, s.unloadedGroups(nil))
 	return st
 }
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -77,7 +77,7 @@
 			delete(e.loading, model)
 		}
 	}
-	e.s.GiveUp(e.now)
+	e.s.DropUnmeetable(e.now)
 	for t := e.s.NextStart(e.now); t != nil; t = e.s.NextStart(e.now) {
 		e.running[t] = e.now.Add(e.runTime)
 		e.started++
--- a/schedule/ticket.go
+++ b/schedule/ticket.go
@@ -34,8 +34,8 @@
 	// NoBatchWait exempts the request from waiting for a batch.
 	NoBatchWait bool
 	Priority    int
-	// Stalled is the time the request waited for its adapter.
-	Stalled time.Duration
+	// StallTime is the time the request waited for its adapter.
+	StallTime time.Duration
 	// Stall says that the adapter was not loaded when the request arrived.
 	Stall bool
 	// Started is when the request started to run.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,7 +16,7 @@
 // EngineOptions describe an Engine.
 type EngineOptions struct {
 	// Announcements writes what the engine announces of itself.
-	Announcements sandbarrow.AnnouncementWriter
+	Announcements sandbarrow.NoticeWriter
 	// ChecksToken makes orders under an older fencing token fail.
 	ChecksToken bool
 	// MaxBatch is the number of requests that share a step.
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -46,7 +46,7 @@
 // faultSwitch guards the faults of a stand-in and applies the general ones.
 type faultSwitch struct {
 	// announcements is nil for a stand-in that announces nothing.
-	announcements sandbarrow.AnnouncementWriter
+	announcements sandbarrow.NoticeWriter
 	onSet         func(Faults)
 
 	mu     sync.Mutex
@@ -97,7 +97,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if s.announcements != nil {
-			s.announcements.Write(w.Header(), sandbarrow.AnnouncementTexts{Draining: f.Draining, Limit: f.Limit})
+			s.announcements.Write(w.Header(), sandbarrow.RawNotice{Draining: f.Draining, Limit: f.Limit})
 		}
 		changes := r.Method != http.MethodGet
 		if changes && s.take(func(f *Faults) *int { return &f.LoseReplies }) {
@@ -115,7 +115,7 @@
 		return false
 	}
 	l.addRefusal()
-	s.announcements.Write(w.Header(), sandbarrow.AnnouncementTexts{Backoff: f.Backoff})
+	s.announcements.Write(w.Header(), sandbarrow.RawNotice{Backoff: f.Backoff})
 	http.Error(w, "no requests now", http.StatusServiceUnavailable)
 	return true
 }
--- a/standin/plainservice.go
+++ b/standin/plainservice.go
@@ -21,7 +21,7 @@
 
 // NewPlainService returns a service whose calls take work. What it announces of itself is written
 // by announcements.
-func NewPlainService(work time.Duration, announcements sandbarrow.AnnouncementWriter) *PlainService {
+func NewPlainService(work time.Duration, announcements sandbarrow.NoticeWriter) *PlainService {
 	s := &PlainService{faultSwitch: faultSwitch{announcements: announcements}, work: work}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /log", s.log.serve)
--- a/store/memoryprefix.go
+++ b/store/memoryprefix.go
@@ -76,7 +76,7 @@
 	}
 	for key, number := range m.deleted {
 		if m.inEra(number) > after && strings.HasPrefix(key, prefix) {
-			items = append(items, sandbarrow.KeyItem{Key: key, Gone: true, Revision: m.inEra(number)})
+			items = append(items, sandbarrow.KeyItem{Key: key, Deleted: true, Revision: m.inEra(number)})
 		}
 	}
 	slices.SortFunc(items, func(a, b sandbarrow.KeyItem) int { return cmp.Compare(a.Revision, b.Revision) })
--- a/upstream.go
+++ b/upstream.go
@@ -32,8 +32,8 @@
 	Stream      bool
 }
 
-// Answer is the head of an upstream's answer.
-type Answer struct {
+// ResponseHeader is the head of an upstream's answer.
+type ResponseHeader struct {
 	ContentType string
 	Status      int
 }
@@ -41,7 +41,7 @@
 // Sink takes the parts of an answer in order.
 type Sink interface {
 	// Begin takes the head, once, before any part.
-	Begin(a Answer) error
+	Begin(a ResponseHeader) error
 	// Write takes one part; it does not keep p.
 	Write(p []byte) (int, error)
 }
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -161,7 +161,7 @@
 }
 
 func pass(resp *http.Response, body []byte, s sandbarrow.Sink) error {
-	if err := s.Begin(sandbarrow.Answer{ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode}); err != nil {
+	if err := s.Begin(sandbarrow.ResponseHeader{ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode}); err != nil {
 		return err
 	}
 	_, err := s.Write(body)
--- a/upstream/enginestream.go
+++ b/upstream/enginestream.go
@@ -38,7 +38,7 @@
 
 // runStream relays a stream to its end; a cut stream is resumed.
 func (e *Engine) runStream(ctx context.Context, j sandbarrow.Job, resp *http.Response, s sandbarrow.Sink) error {
-	if err := s.Begin(sandbarrow.Answer{ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode}); err != nil {
+	if err := s.Begin(sandbarrow.ResponseHeader{ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode}); err != nil {
 		return err
 	}
 	es := &eventStream{model: j.Model, needle: []byte(`"model":` + strconv.Quote(j.Model.String())), sink: s, lastID: "0"}
--- a/upstream/httpcall.go
+++ b/upstream/httpcall.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Answered(sent, resp.StatusCode, resp.Header)
+	o.ResponseReceived(sent, resp.StatusCode, resp.Header)
 	return resp, nil
 }
 
