--- a/config/document.go
+++ b/config/document.go
@@ -78,8 +78,8 @@
 type Service struct {
 	ID sandbarrow.ServiceID `json:"id"`
 	// AtMostOnce says that calls of the service must not be retried.
-	Once   bool   `json:"once"`
-	Prefix string `json:"prefix"`
+	AtMostOnce bool   `json:"once"`
+	Prefix     string `json:"prefix"`
 }
 
 // Version is one version of an adapter.
--- a/config/follower.go
+++ b/config/follower.go
@@ -31,7 +31,7 @@
 	mu      sync.Mutex
 	changed chan struct{}
 	// refused is the watermark of the last configuration refused with ErrReverts.
-	refused  Mark
+	refused  Watermark
 	snapshot Snapshot
 }
 
@@ -48,16 +48,16 @@
 }
 
 // Watermark identifies the configuration in force. It is zero before the first one.
-func (f *Follower) Mark() Mark {
+func (f *Follower) Watermark() Watermark {
 	v := f.view.Load()
 	if v == nil {
-		return Mark{}
+		return Watermark{}
 	}
-	return Mark{Digest: v.Digest, Era: v.Era, Revision: v.Revision}
+	return Watermark{Digest: v.Digest, Era: v.Era, Revision: v.Revision}
 }
 
 // MayLack reports whether a peer's configuration may be newer than the one in force.
-func (f *Follower) MayLack(peer Mark) bool {
+func (f *Follower) MayLack(peer Watermark) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return peer != f.refused && peer.maySupersede(f.snapshot.watermark())
--- a/config/supersede.go
+++ b/config/supersede.go
@@ -34,7 +34,7 @@
 }
 
 // Watermark identifies a configuration. Peers exchange it instead of the complete configuration.
-type Mark struct {
+type Watermark struct {
 	Digest sandbarrow.Digest `json:"digest"`
 	// Era is the era of the store when the configuration was read.
 	Era      sandbarrow.StoreEra `json:"era,omitempty"`
@@ -43,7 +43,7 @@
 
 // maySupersede reports whether the configuration of a watermark may replace that of another one. Across eras
 // watermarks are not enough to decide which one is newer; supersedes decides it from both heads.
-func (m Mark) maySupersede(other Mark) bool {
+func (m Watermark) maySupersede(other Watermark) bool {
 	if m.Era == other.Era {
 		return m.Revision > other.Revision
 	}
--- a/config/view.go
+++ b/config/view.go
@@ -23,13 +23,13 @@
 
 // Resolution is the result of resolving one request against one revision of the configuration.
 type Resolution struct {
-	BaseModel sandbarrow.BaseModelID
-	Class     *Class
-	Model     sandbarrow.ModelRef
-	Once      bool
-	Policy    sandbarrow.PolicyID
-	Priority  int
-	Weights   string
+	BaseModel  sandbarrow.BaseModelID
+	Class      *Class
+	Model      sandbarrow.ModelRef
+	AtMostOnce bool
+	Policy     sandbarrow.PolicyID
+	Priority   int
+	Weights    string
 }
 
 // View is one accepted configuration, compiled for lookups. It is immutable.
@@ -93,12 +93,12 @@
 }
 
 // PermitsUpstream reports whether a policy permits an upstream to serve a class.
-func (v *View) Place(id sandbarrow.PolicyID, class sandbarrow.CallerClass, u policy.Upstream) (bool, error) {
+func (v *View) PermitsUpstream(id sandbarrow.PolicyID, class sandbarrow.CallerClass, u policy.Upstream) (bool, error) {
 	p, ok := v.policies[id]
 	if !ok {
 		return true, nil
 	}
-	return p.Place(class, u)
+	return p.PermitsUpstream(class, u)
 }
 
 // Resolve determines the adapter, version and priority of a request, and whether it runs at most once. The
@@ -128,7 +128,7 @@
 }
 
 func (v *View) runPolicy(p *policy.Policy, r *policy.Request, a *Adapter, class *Class, requestedVersion string, pinned bool) (Resolution, error) {
-	atMostOnce, err := p.Once(r)
+	atMostOnce, err := p.AtMostOnce(r)
 	if err != nil {
 		return Resolution{}, err
 	}
@@ -146,13 +146,13 @@
 	for _, candidate := range a.Versions {
 		if candidate.ID == version {
 			return Resolution{
-				BaseModel: a.BaseModel,
-				Class:     class,
-				Model:     sandbarrow.ModelRef{Adapter: a.ID, Version: version},
-				Once:      atMostOnce,
-				Policy:    a.Policy,
-				Priority:  priority,
-				Weights:   candidate.Weights,
+				BaseModel:  a.BaseModel,
+				Class:      class,
+				Model:      sandbarrow.ModelRef{Adapter: a.ID, Version: version},
+				AtMostOnce: atMostOnce,
+				Policy:     a.Policy,
+				Priority:   priority,
+				Weights:    candidate.Weights,
 			}, nil
 		}
 	}
--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -52,7 +52,7 @@
 		return nil, refusal
 	}
 	// A gateway with an outdated view must not get a version that is known to be old.
-	q.Version = max(q.Version, c.estate.View().LeastVersion(p.key))
+	q.Version = max(q.Version, c.estate.View().MinVersion(p.key))
 	w := c.slots.acquire(c.now(), q, p)
 	a.request = w
 	if !p.granted {
--- a/enginelink/estatesync.go
+++ b/enginelink/estatesync.go
@@ -68,7 +68,7 @@
 	if err := rpc.Call(ctx, MethodFetch, local, &reply); err != nil {
 		return err
 	}
-	e.Learn(reply.Items, Watermark{Earlier: reply.Earlier, Revision: reply.Watermark})
+	e.ApplyPeerChange(reply.Items, Watermark{Earlier: reply.Earlier, Revision: reply.Watermark})
 	if reply.AgeMS != nil {
 		e.Confirm(requestedAt.Add(-time.Duration(*reply.AgeMS)*time.Millisecond), reply.Table)
 	}
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -43,7 +43,7 @@
 // View is an immutable snapshot of the operators' state.
 type View struct {
 	// InForceSince is when this process applied the table.
-	At time.Time
+	InForceSince time.Time
 	// Revision is the store revision of the table.
 	Revision sandbarrow.StoreRevision
 	Table    *route.Table
@@ -53,7 +53,7 @@
 // MinVersion returns the lowest adapter version that may run a request. This is the newest named version, or 0
 // if none is named or no state is known yet (v is nil). It is 0 for base models: engines keep running the base
 // model version that they have loaded.
-func (v *View) LeastVersion(key sandbarrow.AdapterKey) sandbarrow.AdapterVersion {
+func (v *View) MinVersion(key sandbarrow.AdapterKey) sandbarrow.AdapterVersion {
 	if v == nil || key.Adapter == "" {
 		return 0
 	}
@@ -125,14 +125,14 @@
 
 // LastStoreResponse returns when the store last responded about the operators' state, including responses
 // without changes. It is zero if there was no response yet.
-func (e *Estate) Answered() time.Time {
+func (e *Estate) LastStoreResponse() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastResponse
 }
 
 // ApplyPeerChange applies changes sent by a peer, which are complete up to the given watermark.
-func (e *Estate) Learn(items []sandbarrow.KeyItem, watermark Watermark) {
+func (e *Estate) ApplyPeerChange(items []sandbarrow.KeyItem, watermark Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.merge(fromPeer, items, watermark)
@@ -276,7 +276,7 @@
 		e.confirmation.invalidate(e.watermark)
 	}
 	if sameEra || table.Version > next.Table.Version {
-		next.At = time.Now()
+		next.InForceSince = time.Now()
 	}
 	next.Table, next.Revision = table, it.Revision
 	e.logger.Info("configuration in force", "version", table.Version, "revision", it.Revision, "from", string(from))
--- a/estate/estate_test.go
+++ b/estate/estate_test.go
@@ -132,13 +132,13 @@
 func TestLogNamesSourceOfConfiguration(t *testing.T) {
 	var lines strings.Builder
 	e := New(documents{}, slog.New(slog.NewTextHandler(&lines, nil)))
-	e.Learn([]sandbarrow.KeyItem{table(1, "4")}, Watermark{Revision: 1})
+	e.ApplyPeerChange([]sandbarrow.KeyItem{table(1, "4")}, Watermark{Revision: 1})
 	assert.Assert(t, strings.Contains(lines.String(), "version=4 revision=1 from=peer"), lines.String())
-	assert.Assert(t, e.Answered().IsZero())
+	assert.Assert(t, e.LastStoreResponse().IsZero())
 	e.Update([]sandbarrow.KeyItem{table(2, "6")}, 2)
 	assert.Assert(t, strings.Contains(lines.String(), "version=6 revision=2 from=store"), lines.String())
-	last := e.Answered()
+	last := e.LastStoreResponse()
 	assert.Assert(t, !last.IsZero())
 	e.Update(nil, 3)
-	assert.Assert(t, !e.Answered().Before(last))
+	assert.Assert(t, !e.LastStoreResponse().Before(last))
 }
--- a/estate/storerestore_test.go
+++ b/estate/storerestore_test.go
@@ -51,7 +51,7 @@
 	peer := newEstate()
 	peer.Update(append(named(rev(2, 40), "6"), table(rev(2, 1), "1")), rev(2, 50))
 	items, watermark := e.Since(Watermark{Revision: rev(2, 50)})
-	peer.Learn(items, watermark)
+	peer.ApplyPeerChange(items, watermark)
 	assert.Equal(t, peer.View().Version(key), sandbarrow.AdapterVersion(7), "version known before the restore not applied from a peer")
 	e.Update(named(rev(2, 52), "8"), rev(2, 52))
 	assert.Equal(t, e.View().Version(key), sandbarrow.AdapterVersion(8))
@@ -72,7 +72,7 @@
 		mine, _ := e.Watermark()
 		theirs, _ := peer.Watermark()
 		assert.Assert(t, mine.MayLack(theirs), name)
-		e.Learn(peer.Since(mine))
+		e.ApplyPeerChange(peer.Since(mine))
 		assert.Equal(t, e.View().Table.Version, uint64(87), name)
 		mine, _ = e.Watermark()
 		assert.Assert(t, !mine.MayLack(theirs), "%s: would fetch again", name)
@@ -129,7 +129,7 @@
 				peer := estates[rapid.IntRange(0, len(estates)-1).Draw(t, "peer")]
 				mine, _ := estates[i].Watermark()
 				items, watermark := peer.Since(mine)
-				estates[i].Learn(items, watermark)
+				estates[i].ApplyPeerChange(items, watermark)
 				if a, b := peer.View(), estates[i].View(); a != nil {
 					assert.Assert(t, b != nil && b.Table.Version >= a.Table.Version, "the peer did not send its newest table")
 				}
@@ -183,7 +183,7 @@
 	e.Confirm(boottime.Now(), rev(2, 55))
 	at, _ := e.Confirmed()
 	assert.Assert(t, !at.IsZero(), "not confirmed although no restore was detected")
-	e.Learn([]sandbarrow.KeyItem{table(rev(1, 135), "4")}, Watermark{Earlier: []sandbarrow.StoreRevision{rev(1, 140)}, Revision: rev(2, 110)})
+	e.ApplyPeerChange([]sandbarrow.KeyItem{table(rev(1, 135), "4")}, Watermark{Earlier: []sandbarrow.StoreRevision{rev(1, 140)}, Revision: rev(2, 110)})
 	for _, requestedAt := range []time.Time{boottime.Now(), boottime.Now().Add(rewriteWindow / 2)} {
 		at, _ = e.Confirmed()
 		assert.Assert(t, at.IsZero())
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -153,7 +153,7 @@
 
 // minVersion returns the oldest version of the adapter that may run now.
 func (c *call) minVersion() sandbarrow.AdapterVersion {
-	return c.gateway.estate.View().LeastVersion(c.key)
+	return c.gateway.estate.View().MinVersion(c.key)
 }
 
 // readTokens reads the prompt's length in tokens from a list that begins with it. A missing or
--- a/gateway/trust.go
+++ b/gateway/trust.go
@@ -71,14 +71,14 @@
 func (g *Gateway) stateAttributes() []slog.Attr {
 	complete, _ := g.estate.Watermark()
 	return []slog.Attr{
-		slog.Any("complete_to", complete.Revision), slog.Int64("store_answered_ms", sinceMS(g.estate.Answered())),
+		slog.Any("complete_to", complete.Revision), slog.Int64("store_answered_ms", sinceMS(g.estate.LastStoreResponse())),
 	}
 }
 
 // answeredSeconds returns the time in seconds since the store last responded to a read of the
 // operators' state; -1 if it never did.
 func (g *Gateway) answeredSeconds() float64 {
-	answered := g.estate.Answered()
+	answered := g.estate.LastStoreResponse()
 	if answered.IsZero() {
 		return -1
 	}
--- a/internal/storetest/faultystore.go
+++ b/internal/storetest/faultystore.go
@@ -16,64 +16,64 @@
 	// None passes the call on.
 	None Fault = iota
 	// Unavailable refuses the call. Nothing takes effect.
-	Down
+	Unavailable
 	// ReplyLost passes the call on and drops its reply. The call takes effect.
-	Lost
+	ReplyLost
 	// RequestLost drops the call. The caller gets the same error as for ReplyLost.
-	Swallowed
+	RequestLost
 )
 
 // Store passes calls on to Inner. Each call suffers the fault that Next returns.
 type Store struct {
-	Below sandbarrow.Store
+	Inner sandbarrow.Store
 	Next  func() Fault
 }
 
 // CompareAndSwap passes the call on.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
 	return withFault(s, func() (sandbarrow.StoreRevision, error) {
-		return s.Below.CompareAndSwap(ctx, key, previous, value, lease)
+		return s.Inner.CompareAndSwap(ctx, key, previous, value, lease)
 	})
 }
 
 // EraSince passes the call on.
-func (s *Store) EraSince() (time.Time, bool) { return s.Below.EraSince() }
+func (s *Store) EraSince() (time.Time, bool) { return s.Inner.EraSince() }
 
 // Get passes the call on.
 func (s *Store) Get(ctx context.Context, key string) (sandbarrow.Item, error) {
-	return withFault(s, func() (sandbarrow.Item, error) { return s.Below.Get(ctx, key) })
+	return withFault(s, func() (sandbarrow.Item, error) { return s.Inner.Get(ctx, key) })
 }
 
 // GrantLease passes the call on.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (sandbarrow.LeaseID, error) {
-	return withFault(s, func() (sandbarrow.LeaseID, error) { return s.Below.GrantLease(ctx, ttl) })
+	return withFault(s, func() (sandbarrow.LeaseID, error) { return s.Inner.GrantLease(ctx, ttl) })
 }
 
 // RenewLease passes the call on.
 func (s *Store) RenewLease(ctx context.Context, lease sandbarrow.LeaseID) (sandbarrow.StoreEra, error) {
-	return withFault(s, func() (sandbarrow.StoreEra, error) { return s.Below.RenewLease(ctx, lease) })
+	return withFault(s, func() (sandbarrow.StoreEra, error) { return s.Inner.RenewLease(ctx, lease) })
 }
 
 // RevokeLease passes the call on.
 func (s *Store) RevokeLease(ctx context.Context, lease sandbarrow.LeaseID) error {
-	_, err := withFault(s, func() (struct{}, error) { return struct{}{}, s.Below.RevokeLease(ctx, lease) })
+	_, err := withFault(s, func() (struct{}, error) { return struct{}{}, s.Inner.RevokeLease(ctx, lease) })
 	return err
 }
 
 // Watch passes the call on.
 func (s *Store) Watch(ctx context.Context, key string, after sandbarrow.StoreRevision) (sandbarrow.Item, error) {
-	return withFault(s, func() (sandbarrow.Item, error) { return s.Below.Watch(ctx, key, after) })
+	return withFault(s, func() (sandbarrow.Item, error) { return s.Inner.Watch(ctx, key, after) })
 }
 
 func withFault[T any](s *Store, call func() (T, error)) (T, error) {
 	var zero T
 	switch s.Next() {
-	case Down:
+	case Unavailable:
 		return zero, sandbarrow.ErrStoreUnavailable
-	case Lost:
+	case ReplyLost:
 		_, _ = call()
 		return zero, sandbarrow.ErrStoreUnknown
-	case Swallowed:
+	case RequestLost:
 		return zero, sandbarrow.ErrStoreUnknown
 	}
 	return call()
--- a/quota/leader/leader_test.go
+++ b/quota/leader/leader_test.go
@@ -181,9 +181,9 @@
 	memory := store.NewMemory()
 	empty := memory.Copy()
 	var disconnected atomic.Bool
-	first, stopFirst := startWith(t, memory, &storetest.Store{Below: memory, Next: func() storetest.Fault {
+	first, stopFirst := startWith(t, memory, &storetest.Store{Inner: memory, Next: func() storetest.Fault {
 		if disconnected.Load() {
-			return storetest.Down
+			return storetest.Unavailable
 		}
 		return storetest.None
 	}}, "box-1")
