--- a/burn/html.go
+++ b/burn/html.go
@@ -17,7 +17,7 @@
 	barGap     = 14
 	barWidth   = 56
 	plotHeight = 120
-	// plotTop is the burn at the top of a plot; higher bars are cut there.
+	// plotTop is the burn rate at the top of a plot. Higher bars are clipped.
 	plotTop = 4.0
 )
 
@@ -44,9 +44,9 @@
 	for i, c := range row.Cells {
 		height := int(math.Min(1, c.Burn/plotTop) * plotHeight)
 		drawn = append(drawn, bar{
-			Burn:   trimFloat(c.Burn, 2),
-			Events: trimFloat(c.Good+c.Bad, 0),
-			Height: trimFloat(float64(height), 0),
+			Burn:   formatFloat(c.Burn, 2),
+			Events: formatFloat(c.Good+c.Bad, 0),
+			Height: formatFloat(float64(height), 0),
 			Label:  shortWindow(c.Window),
 			Level:  level(c.Burn),
 			X:      barGap + i*(barWidth+barGap),
@@ -66,7 +66,7 @@
 	return "fine"
 }
 
-// shortWindow writes a window in its largest unit, such as "5m".
+// shortWindow formats a window in its largest unit, such as "5m".
 func shortWindow(d time.Duration) string {
 	if d >= time.Hour {
 		return strconv.Itoa(int(d/time.Hour)) + "h"
@@ -74,6 +74,6 @@
 	return strconv.Itoa(int(d/time.Minute)) + "m"
 }
 
-func trimFloat(x float64, digits int) string {
+func formatFloat(x float64, digits int) string {
 	return strconv.FormatFloat(x, 'f', digits, 64)
 }
--- a/burn/report.go
+++ b/burn/report.go
@@ -18,40 +18,41 @@
 )
 
 const (
-	// maxMetricsBytes bounds the metrics of one box.
+	// maxMetricsBytes bounds the bytes read from one box's metrics.
 	maxMetricsBytes = 16 << 20
 	scrapeTimeout   = 5 * time.Second
 )
 
-// Cell is the burn of one class and objective over one window.
+// Cell is the burn rate of one class and objective over one window.
 type Cell struct {
 	Bad float64 `json:"bad"`
-	// Burn is the share of bad events over the share that the objective
-	// leaves; 1 uses up the budget exactly. It is 0 without events.
+	// Burn is the burn rate: the share of bad events divided by the share that the objective
+	// permits. At 1 the error budget is used up exactly. It is 0 without events.
 	Burn   float64       `json:"burn"`
 	Good   float64       `json:"good"`
 	Window time.Duration `json:"window_ns"`
 }
 
-// Row is the burn of one class and objective.
+// Row holds the burn rates of one class and objective, one for each window.
 type Row struct {
 	Cells     []Cell                 `json:"cells"`
 	Class     sandbarrow.CallerClass `json:"class"`
 	Objective string                 `json:"objective"`
-	// Share is the aimed share of good events.
+	// Share is the target share of good events.
 	Share float64 `json:"share"`
 }
 
-// Report is the burn of all classes, from the metrics of many boxes.
+// Report holds the burn rates of all classes, from the metrics of several boxes.
 type Report struct {
 	Boxes []string  `json:"boxes"`
 	Made  time.Time `json:"made"`
-	// Missing lists boxes that gave no metrics.
+	// Missing lists the boxes whose metrics could not be read, with the error.
 	Missing []string `json:"missing"`
 	Rows    []Row    `json:"rows"`
 }
 
-// Scrape reads the metrics of boxes at base URLs and makes the report.
+// Scrape reads the metrics of the boxes at the given base URLs and computes the report. Boxes that
+// can't be read are listed in it. Scrape fails if none can be read.
 func Scrape(ctx context.Context, boxes []string) (*Report, error) {
 	r := newReporter()
 	client := &http.Client{Timeout: scrapeTimeout}
@@ -69,12 +70,12 @@
 }
 
 type reporter struct {
-	cells  map[series]map[time.Duration]*Cell
-	shares map[sandbarrow.CallerClass]float64
+	cells   map[series]map[time.Duration]*Cell
+	targets map[sandbarrow.CallerClass]float64
 }
 
 func newReporter() *reporter {
-	return &reporter{cells: map[series]map[time.Duration]*Cell{}, shares: map[sandbarrow.CallerClass]float64{}}
+	return &reporter{cells: map[series]map[time.Duration]*Cell{}, targets: map[sandbarrow.CallerClass]float64{}}
 }
 
 func (r *reporter) scrape(ctx context.Context, client *http.Client, box string) error {
@@ -93,15 +94,15 @@
 	return r.read(io.LimitReader(resp.Body, maxMetricsBytes))
 }
 
-// read adds the metrics of one box.
+// read parses the metrics of one box and adds them to the cells.
 func (r *reporter) read(text io.Reader) error {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(text)
 	if err != nil {
 		return errors.Annotate(err, "metrics")
 	}
-	for _, m := range families[ShareMetric].GetMetric() {
-		r.shares[sandbarrow.CallerClass(labels(m)["class"])] = m.GetGauge().GetValue()
+	for _, m := range families[TargetMetric].GetMetric() {
+		r.targets[sandbarrow.CallerClass(labels(m)["class"])] = m.GetGauge().GetValue()
 	}
 	for _, m := range families[EventsMetric].GetMetric() {
 		l := labels(m)
@@ -137,11 +138,11 @@
 	return r.cells[s][window]
 }
 
-// rows computes the burn, sorted by class and objective.
+// rows computes the burn rates and returns them sorted by class and objective.
 func (r *reporter) rows() []Row {
 	rows := make([]Row, 0, len(r.cells))
 	for s, cells := range r.cells {
-		row := Row{Class: s.class, Objective: s.objective, Share: r.shares[s.class]}
+		row := Row{Class: s.class, Objective: s.objective, Share: r.targets[s.class]}
 		for _, c := range cells {
 			c.Burn = burnRate(c.Good, c.Bad, row.Share)
 			row.Cells = append(row.Cells, *c)
@@ -158,9 +159,9 @@
 	return rows
 }
 
-func burnRate(good, bad, share float64) float64 {
-	if good+bad == 0 || share >= 1 {
+func burnRate(good, bad, target float64) float64 {
+	if good+bad == 0 || target >= 1 {
 		return 0
 	}
-	return math.Round(bad/(good+bad)/(1-share)*1000) / 1000
+	return math.Round(bad/(good+bad)/(1-target)*1000) / 1000
 }
--- a/burn/text.go
+++ b/burn/text.go
@@ -6,7 +6,8 @@
 	"text/tabwriter"
 )
 
-// WriteText writes the report as a table, a line for each class and objective.
+// WriteText writes the report as a table with one line for each class and objective. The counts of
+// events are those of the longest window.
 func (r *Report) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "class\tobjective\taim")
--- a/burn/tracker.go
+++ b/burn/tracker.go
@@ -1,5 +1,4 @@
-// Package burn measures how fast each class of callers uses up the error
-// budget of its objective, over several windows.
+// Package burn measures the error budget burn rate of each caller class over several windows.
 package burn
 
 import (
@@ -13,22 +12,22 @@
 )
 
 const (
-	// bucketSpan is the resolution of the windows.
+	// bucketSpan is the duration of one bucket, the resolution of the windows.
 	bucketSpan = 10 * time.Second
 	// EventsMetric is the gauge that boxes export and the report reads.
 	EventsMetric = "sandbarrow_slo_events"
-	// ShareMetric is the gauge of the aimed shares.
-	ShareMetric = "sandbarrow_slo_objective"
+	// TargetMetric is the gauge with the target share of good events of each class.
+	TargetMetric = "sandbarrow_slo_objective"
 )
 
-// Windows are the windows of the report, shortest first.
+// Windows are the windows of the report, in ascending order.
 var Windows = []time.Duration{time.Minute, 5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 // The objectives of a class.
 const (
-	// ObjectiveAnswer counts whole answers as good.
-	ObjectiveAnswer = "answer"
-	// ObjectiveFirstToken counts answers that began in time as good.
+	// ObjectiveResponse counts complete responses as good.
+	ObjectiveResponse = "answer"
+	// ObjectiveFirstToken counts responses as good if they started within the target time.
 	ObjectiveFirstToken = "first-token"
 )
 
@@ -37,7 +36,7 @@
 	objective string
 }
 
-// counts are the events of one bucket or window.
+// counts holds the number of events in one bucket or window.
 type counts struct {
 	bad, good float64
 }
@@ -45,29 +44,29 @@
 // ring holds the buckets of one series.
 type ring struct {
 	buckets []counts
-	newest  int64 // the number of the newest bucket since the epoch
+	newest  int64 // number of the newest bucket, counted from the Unix epoch
 }
 
-// Tracker counts good and bad events and exports them per window.
+// Tracker counts good and bad events and exports the counts for each window.
 type Tracker struct {
-	events *prometheus.Desc
-	mu     sync.Mutex
-	rings  map[series]*ring
-	share  *prometheus.Desc
-	shares map[sandbarrow.CallerClass]float64
+	events  *prometheus.Desc
+	mu      sync.Mutex
+	rings   map[series]*ring
+	target  *prometheus.Desc
+	targets map[sandbarrow.CallerClass]float64
 }
 
-// NewTracker returns a tracker, a prometheus.Collector.
+// NewTracker returns a tracker without events. It implements prometheus.Collector.
 func NewTracker() *Tracker {
 	return &Tracker{
 		events: prometheus.NewDesc(EventsMetric, "Events within a window, by result.",
 			[]string{"class", "objective", "result", "window"}, nil),
-		rings: map[series]*ring{},
-		share: prometheus.NewDesc(ShareMetric, "The aimed share of good events.", []string{"class"}, nil),
+		rings:  map[series]*ring{},
+		target: prometheus.NewDesc(TargetMetric, "The aimed share of good events.", []string{"class"}, nil),
 	}
 }
 
-// Collect exports all windows.
+// Collect exports the counts of all windows and the target shares.
 func (t *Tracker) Collect(ch chan<- prometheus.Metric) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,15 +79,15 @@
 			}
 		}
 	}
-	for class, share := range t.shares {
-		ch <- prometheus.MustNewConstMetric(t.share, prometheus.GaugeValue, share, string(class))
+	for class, target := range t.targets {
+		ch <- prometheus.MustNewConstMetric(t.target, prometheus.GaugeValue, target, string(class))
 	}
 }
 
 // Describe describes the exported metrics.
 func (t *Tracker) Describe(ch chan<- *prometheus.Desc) {
 	ch <- t.events
-	ch <- t.share
+	ch <- t.target
 }
 
 // Record counts one event.
@@ -111,14 +110,14 @@
 	}
 }
 
-// SetShares replaces the aimed shares.
-func (t *Tracker) SetShares(shares map[sandbarrow.CallerClass]float64) {
+// SetTargets replaces the target share of good events of each class.
+func (t *Tracker) SetTargets(targets map[sandbarrow.CallerClass]float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.shares = shares
+	t.targets = targets
 }
 
-// advance clears the buckets between the newest and now.
+// advance clears the buckets from the newest one up to the current time.
 func (r *ring) advance(now time.Time) {
 	current := now.UnixNano() / int64(bucketSpan)
 	n := int64(len(r.buckets))
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -18,7 +18,7 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// completionBody is what the entry reads of a completion request.
+// completionBody holds the fields of a completion request that the entry uses.
 type completionBody struct {
 	Messages json.RawMessage `json:"messages"`
 	Model    string          `json:"model"`
@@ -32,7 +32,7 @@
 		e.refuse(r, refusal)
 		return
 	}
-	resolved, err := r.view.Resolve(r.caller, body.Model, r.marked)
+	resolved, err := r.view.Resolve(r.caller, body.Model, r.atMostOnce)
 	if err != nil {
 		reason := sandbarrow.ReasonConfiguration
 		if errors.Is(err, config.ErrUnknownModel) {
@@ -41,7 +41,7 @@
 		e.refuse(r, sandbarrow.NotRun(reason, err.Error(), 0))
 		return
 	}
-	places, err := e.places.permitted(r.view, e.fleet, placeKey{class: r.caller.Class, policy: resolved.Policy})
+	permits, err := e.permits.permitted(r.view, e.fleet, permitKey{class: r.caller.Class, policy: resolved.Policy})
 	if err != nil {
 		e.refuse(r, sandbarrow.NotRun(sandbarrow.ReasonConfiguration, err.Error(), 0))
 		return
@@ -67,16 +67,16 @@
 			BaseModel:   resolved.BaseModel,
 			BatchWeight: r.view.Document.Weights.BatchEfficiency,
 			Hash:        placement.HashModel(resolved.Model),
-			Permitted:   places,
+			Permitted:   permits,
 			Urgent:      r.class.NoBatchWait,
 		},
-		stream: newAnswerStream(),
+		stream: newResponseStream(),
 	}
 	if resolved.Once {
 		j.attempt.OnceID = r.onceID()
 	}
 	r.ctx.Response.Header.Set(headerModel, resolved.Model.String())
-	e.answer(r, j)
+	e.respond(r, j)
 }
 
 func readCompletion(r *request) (completionBody, *sandbarrow.Refusal) {
@@ -120,31 +120,31 @@
 		caller:   r.caller.ID,
 		deadline: r.deadline,
 		route:    sandbarrow.RouteRequest{Service: s.ID, Hash: xxhash.Sum64String(string(r.onceID()))},
-		stream:   newAnswerStream(),
+		stream:   newResponseStream(),
 	}
-	if s.Once || r.marked {
+	if s.Once || r.atMostOnce {
 		j.attempt.OnceID = r.onceID()
 	}
-	e.answer(r, j)
+	e.respond(r, j)
 }
 
-// ended is the end of a dispatch.
-type ended struct {
+// dispatchResult is the result of a dispatch, or the refusal if it failed.
+type dispatchResult struct {
 	refusal *sandbarrow.Refusal
 	result  wire.AttemptResult
 }
 
-// answer dispatches a job and answers its caller.
-func (e *Entry) answer(r *request, j *job) {
+// respond dispatches a job and writes the response to its caller.
+func (e *Entry) respond(r *request, j *job) {
 	r.ctx.Response.Header.Set(headerRequestID, string(r.id))
 	r.ctx.Response.Header.Set(headerRevision, strconv.FormatUint(uint64(r.view.Revision), 10))
 	if !j.attempt.Stream {
 		result, refusal := e.dispatch(e.work, j)
-		e.answerWhole(r, result, refusal)
+		e.writeResponse(r, result, refusal)
 		return
 	}
 	ctx, cancel := context.WithCancel(e.work)
-	done := make(chan ended, 1)
+	done := make(chan dispatchResult, 1)
 	go func() {
 		result, refusal := e.dispatch(ctx, j)
 		if refusal == nil {
@@ -152,40 +152,41 @@
 		} else {
 			j.stream.fail(refusal)
 		}
-		done <- ended{refusal: refusal, result: result}
+		done <- dispatchResult{refusal: refusal, result: result}
 	}()
 	frames, err := j.stream.next(ctx)
 	if len(frames) == 0 {
-		// A kept answer of a once-only request comes whole, without frames.
+		// The stored response of an at-most-once request is returned complete, without frames.
 		defer cancel()
 		end := <-done
 		if end.refusal == nil && err != nil {
-			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, err.Error(), noUpstreamPause)
+			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, err.Error(), noUpstreamRetryAfter)
 		}
-		e.answerWhole(r, end.result, end.refusal)
+		e.writeResponse(r, end.result, end.refusal)
 		return
 	}
-	e.answerStream(ctx, cancel, r, j, frames, done)
+	e.writeStream(ctx, cancel, r, j, frames, done)
 }
 
-func (e *Entry) answerWhole(r *request, result wire.AttemptResult, refusal *sandbarrow.Refusal) {
+func (e *Entry) writeResponse(r *request, result wire.AttemptResult, refusal *sandbarrow.Refusal) {
 	if refusal != nil {
 		e.refuse(r, refusal)
 		return
 	}
-	e.countFirst(r)
+	e.recordFirstPart(r)
 	if result.Origin != nil {
-		labelKept(&r.ctx.Response.Header, *result.Origin)
+		setOriginHeaders(&r.ctx.Response.Header, *result.Origin)
 	}
 	r.ctx.SetStatusCode(result.Status)
 	r.ctx.SetContentType(result.ContentType)
 	r.ctx.SetBody(result.Body)
-	e.count(r, nil)
+	e.recordResult(r, nil)
 }
 
-// labelKept labels a kept answer with what made it, in place of what its repeat was
-// resolved to. What is not known is not claimed.
-func labelKept(h *fasthttp.ResponseHeader, o wire.Origin) {
+// setOriginHeaders sets the model and revision headers of a stored response to those that
+// produced it. The retry may have been resolved to others. A header is left out if its value
+// is unknown.
+func setOriginHeaders(h *fasthttp.ResponseHeader, o wire.Origin) {
 	h.Del(headerModel)
 	h.Del(headerRevision)
 	if !o.Model.IsZero() {
@@ -196,40 +197,40 @@
 	}
 }
 
-// answerStream relays frames as they come. A stream that breaks ends in an
-// error event that carries the outcome.
-func (e *Entry) answerStream(ctx context.Context, cancel context.CancelFunc, r *request, j *job, frames []wire.Frame, done <-chan ended) {
-	e.countFirst(r)
+// writeStream relays frames as they arrive. If the stream breaks, the last event is an error
+// event with the outcome.
+func (e *Entry) writeStream(ctx context.Context, cancel context.CancelFunc, r *request, j *job, frames []wire.Frame, done <-chan dispatchResult) {
+	e.recordFirstPart(r)
 	r.ctx.SetStatusCode(frames[0].Status)
 	r.ctx.SetContentType(frames[0].ContentType)
-	// The context of the HTTP library ends with the handler; what the writer
-	// needs of the request is held apart.
-	held := &request{adapter: r.adapter, caller: r.caller, id: r.id, view: r.view}
+	// The HTTP library's context is invalid after the handler returns. The writer runs later and
+	// uses this copy of the fields that it needs.
+	retained := &request{adapter: r.adapter, caller: r.caller, id: r.id, view: r.view}
 	r.ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer cancel()
 		err := relayFrames(ctx, w, frames, j.stream)
 		if errors.Is(err, errCallerLeft) || errors.Is(err, errSlowCaller) {
 			cancel()
 			end := <-done
-			e.logger.Info("caller left", "request", string(held.id), "error", err.Error())
-			e.count(held, end.refusal)
+			e.logger.Info("response to caller aborted", "request", string(retained.id), "error", err.Error())
+			e.recordResult(retained, end.refusal)
 			return
 		}
 		end := <-done
 		if end.refusal == nil && err != nil {
-			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, err.Error(), noUpstreamPause)
+			end.refusal = sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, err.Error(), noUpstreamRetryAfter)
 		}
 		if end.refusal != nil {
-			writeErrorEvent(w, held.id, end.refusal)
+			writeErrorEvent(w, retained.id, end.refusal)
 		}
-		e.count(held, end.refusal)
+		e.recordResult(retained, end.refusal)
 	})
 }
 
-// errCallerLeft means that the caller takes no more.
+// errCallerLeft means that writing to the caller failed.
 const errCallerLeft = errors.ConstError("entry: caller left")
 
-func relayFrames(ctx context.Context, w *bufio.Writer, frames []wire.Frame, s *answerStream) error {
+func relayFrames(ctx context.Context, w *bufio.Writer, frames []wire.Frame, s *responseStream) error {
 	var err error
 	for len(frames) > 0 {
 		for _, f := range frames {
@@ -248,9 +249,9 @@
 }
 
 func writeErrorEvent(w *bufio.Writer, id sandbarrow.RequestID, refusal *sandbarrow.Refusal) {
-	body, _ := json.Marshal(problemOf(id, refusal)) // plain texts and numbers always marshal
+	body, _ := json.Marshal(problemOf(id, refusal)) // strings and numbers always marshal
 	_, _ = w.WriteString("event: error\ndata: ")
 	_, _ = w.Write(body)
 	_, _ = w.WriteString("\n\n")
-	_ = w.Flush() // the caller may have left
+	_ = w.Flush() // the caller may have disconnected
 }
--- a/entry/completion_test.go
+++ b/entry/completion_test.go
@@ -10,20 +10,20 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-func TestLabelKept(t *testing.T) {
+func TestStoredResponseNamesItsOrigin(t *testing.T) {
 	for name, tc := range map[string]struct {
 		origin          wire.Origin
 		model, revision string
 	}{
-		"engine":   {wire.Origin{Model: sandbarrow.ModelRef{Adapter: "a", Version: "v1"}, Revision: 1}, "a@v1", "1"},
-		"not told": {},
-		"service":  {wire.Origin{Revision: 1}, "", "1"},
+		"engine":  {wire.Origin{Model: sandbarrow.ModelRef{Adapter: "a", Version: "v1"}, Revision: 1}, "a@v1", "1"},
+		"unknown": {},
+		"service": {wire.Origin{Revision: 1}, "", "1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var h fasthttp.ResponseHeader
 			h.Set(headerModel, "a@v2")
 			h.Set(headerRevision, "2")
-			labelKept(&h, tc.origin)
+			setOriginHeaders(&h, tc.origin)
 			assert.Equal(t, string(h.Peek(headerModel)), tc.model)
 			assert.Equal(t, string(h.Peek(headerRevision)), tc.revision)
 		})
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -16,81 +16,81 @@
 const (
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 5
-	// noUpstreamPause is when callers may come back when no upstream is there.
-	noUpstreamPause = 2 * time.Second
-	// settleTimeout bounds how long a lost once-only attempt is settled.
-	settleTimeout = 2 * time.Second
+	// noUpstreamRetryAfter is the Retry-After for callers when no upstream is available.
+	noUpstreamRetryAfter = 2 * time.Second
+	// resolveTimeout bounds the time to find out whether a lost at-most-once attempt has run.
+	resolveTimeout = 2 * time.Second
 )
 
-// job is one request of a caller on its way through the entry.
+// job is one request of a caller while the entry processes it.
 type job struct {
 	attempt wire.AttemptRequest
-	// caller is who asks.
+	// caller is the caller that sent the request.
 	caller   sandbarrow.CallerID
 	deadline time.Time
 	route    sandbarrow.RouteRequest
-	stream   *answerStream
+	stream   *responseStream
 }
 
-// verdict says what the end of one attempt means for its request: a result, or
-// a refusal and whether another attempt may be made.
-type verdict struct {
-	// anywhere lets the next attempt go to upstreams that were tried.
-	anywhere bool
-	// free says that a retry costs nothing: nothing ran, as was known at once.
-	free    bool
-	refusal *sandbarrow.Refusal
-	result  wire.AttemptResult
-	retry   bool
+// decision is the consequence of one finished attempt for its request: either a result, or a
+// refusal and whether the request may be retried.
+type decision struct {
+	// allowTried lets the next attempt use upstreams that have been tried already.
+	allowTried bool
+	// freeRetry exempts the retry from the retry budget: it was clear at once that nothing had run.
+	freeRetry bool
+	refusal   *sandbarrow.Refusal
+	result    wire.AttemptResult
+	retry     bool
 }
 
-// left is how long it is until the deadline.
-func (j *job) left() time.Duration {
+// timeLeft returns the time until the deadline.
+func (j *job) timeLeft() time.Duration {
 	return boottime.Until(j.deadline)
 }
 
-// identify gives the request the fingerprint of what it asks for, and for whom: its repeats
-// have the same, at whatever entry.
-func (j *job) identify() {
+// setFingerprint sets the fingerprint of the request's content and caller. Retries of the same
+// request have the same fingerprint at every entry.
+func (j *job) setFingerprint() {
 	r := &j.attempt
 	fingerprint := crash.NewFingerprint([]byte(r.Method), []byte(r.Path), r.Body, []byte(r.Model.Adapter), []byte(j.caller))
 	r.Fingerprint = &fingerprint
 }
 
-// dispatch makes attempts until one is final, and decides when a request is given up:
-// when no upstream suits, its verdict permits no retry, its deadline is over, the
-// caller has a part of the answer, or the retry budget is spent (but for retries that
-// cost nothing, since nothing ran). maxAttempts bounds them in any case.
+// dispatch makes attempts until one succeeds or the request can't be retried. It gives up when
+// no upstream is eligible, the decision on the last attempt permits no retry, the deadline has
+// passed, a part of the response has been received, or the retry budget is used up. Free
+// retries don't use the budget. maxAttempts bounds the attempts in any case.
 func (e *Entry) dispatch(ctx context.Context, j *job) (wire.AttemptResult, *sandbarrow.Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, j.left())
+	ctx, cancel := context.WithTimeout(ctx, j.timeLeft())
 	defer cancel()
 	e.budget.Request()
 	j.route.Exclude = &sandbarrow.IndexSet{}
-	j.identify()
-	refusal := sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "no upstream can take the request now", noUpstreamPause)
+	j.setFingerprint()
+	refusal := sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "no upstream can take the request now", noUpstreamRetryAfter)
 	j.attempt.Attempt = 1
 	for range maxAttempts {
-		if v := e.crashes.Decide(*j.attempt.Fingerprint, e.Connected()); v.Refused {
-			return wire.AttemptResult{}, worse(refusal, sandbarrow.NotRun(sandbarrow.ReasonCrashesUpstreams, "upstreams have ended under this request", v.ExpiresIn))
+		if d := e.crashes.Decide(*j.attempt.Fingerprint, e.Connected()); d.Refused {
+			return wire.AttemptResult{}, combineRefusals(refusal, sandbarrow.NotRun(sandbarrow.ReasonCrashesUpstreams, "upstreams have ended under this request", d.ExpiresIn))
 		}
 		index, ok := e.chooser.Choose(time.Now(), &j.route)
 		if !ok {
 			return wire.AttemptResult{}, refusal
 		}
 		j.route.Exclude.Add(index)
-		v := e.try(ctx, j, index)
-		if v.refusal == nil {
+		d := e.tryUpstream(ctx, j, index)
+		if d.refusal == nil {
 			e.crashes.Clear(*j.attempt.Fingerprint)
-			return v.result, nil
+			return d.result, nil
 		}
-		refusal = worse(refusal, v.refusal)
-		if !v.retry || ctx.Err() != nil || j.stream.any() {
+		refusal = combineRefusals(refusal, d.refusal)
+		if !d.retry || ctx.Err() != nil || j.stream.any() {
 			return wire.AttemptResult{}, refusal
 		}
-		if !v.free && !e.budget.AllowRetry() {
+		if !d.freeRetry && !e.budget.AllowRetry() {
 			return wire.AttemptResult{}, refusal
 		}
-		if v.anywhere {
+		if d.allowTried {
 			j.route.Exclude = &sandbarrow.IndexSet{}
 		}
 		e.metrics.retries.Inc()
@@ -99,10 +99,10 @@
 	return wire.AttemptResult{}, refusal
 }
 
-// worse keeps the refusal that promises less: once an attempt may have run, no
-// later attempt makes the request not run. Of upstreams that take no more now, the one that
-// takes a request first says when to come back.
-func worse(before, now *sandbarrow.Refusal) *sandbarrow.Refusal {
+// combineRefusals returns the refusal to report for two attempts of a request. Once an attempt
+// may have run, the outcome stays unknown, whatever a later attempt reports. If both upstreams
+// named a time when they accept requests again, the earlier one is reported.
+func combineRefusals(before, now *sandbarrow.Refusal) *sandbarrow.Refusal {
 	if before.Outcome == sandbarrow.OutcomeUnknown && now.Outcome == sandbarrow.OutcomeNotRun {
 		return before
 	}
@@ -112,70 +112,70 @@
 	return now
 }
 
-// acceptsLater reports whether a refusal says when its upstream accepts a request.
+// acceptsLater reports whether a refusal names the time when its upstream accepts requests again.
 func acceptsLater(r *sandbarrow.Refusal) bool {
 	return r.Reason == sandbarrow.ReasonUpstreamBackoff || r.Reason == sandbarrow.ReasonUpstreamLimit
 }
 
-// try makes one attempt at an upstream.
-func (e *Entry) try(ctx context.Context, j *job, index int) verdict {
-	hasLeft := verdict{free: true, retry: true, refusal: sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "the agent has just left", noUpstreamPause)}
+// tryUpstream makes one attempt at an upstream.
+func (e *Entry) tryUpstream(ctx context.Context, j *job, index int) decision {
+	notSent := decision{freeRetry: true, retry: true, refusal: sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "the agent has just left", noUpstreamRetryAfter)}
 	p := e.peerAt(index)
 	if p == nil {
-		return hasLeft
+		return notSent
 	}
 	e.fleet.Begin(index)
 	defer e.fleet.End(index)
-	j.attempt.DeadlineMS = wire.Millis(j.left())
+	j.attempt.DeadlineMS = wire.Millis(j.timeLeft())
 	result, err := p.attempt(ctx, j.attempt, j.stream)
 	switch {
 	case errors.Is(err, errNotSent):
-		return hasLeft
+		return notSent
 	case errors.Is(err, errRevoked):
-		return verdict{refusal: sandbarrow.NotRun(sandbarrow.ReasonDeadline, "the deadline passed before the request ran", noUpstreamPause)}
+		return decision{refusal: sandbarrow.NotRun(sandbarrow.ReasonDeadline, "the deadline passed before the request ran", noUpstreamRetryAfter)}
 	case err != nil && j.attempt.OnceID != "":
-		return e.settleOnce(ctx, j)
+		return e.resolveLostAttempt(ctx, j)
 	case err != nil:
-		return verdict{retry: true, refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost while it had the request", noUpstreamPause)}
+		return decision{retry: true, refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost while it had the request", noUpstreamRetryAfter)}
 	case result.Outcome == sandbarrow.OutcomeComplete:
-		return verdict{result: result}
+		return decision{result: result}
 	case result.Claim != nil:
-		return e.settleClaimed(ctx, j, *result.Claim)
+		return e.resolveClaim(ctx, j, *result.Claim)
 	}
-	return judge(j, result)
+	return decideRefusal(j, result)
 }
 
-// judge decides what an agent's refusal means for the request.
+// decideRefusal decides whether a request that an agent refused is retried.
 //
-// Inputs: the refusal's reason and outcome, and whether the request is once-only. A
-// draining or replaced agent, or one whose upstream takes no more, costs nothing and is retried
-// elsewhere; a deadline or a
-// store that does not answer is the same elsewhere. Otherwise a request is retried
-// when it did not run, or may run twice.
-func judge(j *job, result wire.AttemptResult) verdict {
+// Inputs: the refusal's reason and outcome, and whether the request is at-most-once. If the
+// agent is draining or was replaced, or its upstream accepts no requests now, the request is
+// retried at another upstream without using the retry budget. After a missed deadline or
+// without a response from the store it is not retried, because another agent would fail in
+// the same way. In all other cases a request is retried if it did not run or may run twice.
+func decideRefusal(j *job, result wire.AttemptResult) decision {
 	refusal := &sandbarrow.Refusal{
 		Detail:     result.Detail,
 		Outcome:    result.Outcome,
 		Reason:     result.Reason,
 		RetryAfter: wire.Duration(result.RetryAfterMS),
 	}
-	v := verdict{refusal: refusal}
+	d := decision{refusal: refusal}
 	switch refusal.Reason {
 	case sandbarrow.ReasonDraining, sandbarrow.ReasonIncarnation, sandbarrow.ReasonUpstreamBackoff, sandbarrow.ReasonUpstreamLimit:
-		v.free, v.retry = true, true
+		d.freeRetry, d.retry = true, true
 	case sandbarrow.ReasonDeadline, sandbarrow.ReasonStore:
-		// Another agent asks the same store.
-		v.retry = false
+		// Another agent would query the same store.
+		d.retry = false
 	default:
-		v.retry = refusal.Outcome == sandbarrow.OutcomeNotRun || j.attempt.OnceID == ""
+		d.retry = refusal.Outcome == sandbarrow.OutcomeNotRun || j.attempt.OnceID == ""
 	}
-	return v
+	return d
 }
 
-// settleOnce finds out what became of a once-only attempt whose agent was
-// lost. If it has not started, its claim is voided: then it never runs.
-func (e *Entry) settleOnce(ctx context.Context, j *job) verdict {
-	voidCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+// resolveLostAttempt finds out whether an at-most-once attempt has run after the connection to
+// its agent was lost. If it has not started, its claim is voided and it never runs.
+func (e *Entry) resolveLostAttempt(ctx context.Context, j *job) decision {
+	voidCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), resolveTimeout)
 	defer cancel()
 	c := sandbarrow.Claim{
 		Attempt: j.attempt.Attempt,
@@ -183,46 +183,47 @@
 		Box:     e.settings.Box.ID,
 		Token:   uuid.NewString(),
 	}
-	stands, err := e.claimer.Void(voidCtx, j.attempt.OnceID, c)
+	current, err := e.claimer.Void(voidCtx, j.attempt.OnceID, c)
 	if err != nil {
-		return verdict{refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost and the store does not tell whether the request ran", noUpstreamPause)}
+		return decision{refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost and the store does not tell whether the request ran", noUpstreamRetryAfter)}
 	}
-	if stands.State == sandbarrow.ClaimVoided {
-		j.attempt.Attempt = max(j.attempt.Attempt, stands.Attempt)
-		return verdict{free: true, retry: true, refusal: sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "the agent was lost before it started the request", noUpstreamPause)}
+	if current.State == sandbarrow.ClaimVoided {
+		j.attempt.Attempt = max(j.attempt.Attempt, current.Attempt)
+		return decision{freeRetry: true, retry: true, refusal: sandbarrow.NotRun(sandbarrow.ReasonNoUpstream, "the agent was lost before it started the request", noUpstreamRetryAfter)}
 	}
-	return e.settleClaimed(ctx, j, stands)
+	return e.resolveClaim(ctx, j, current)
 }
 
-// settleClaimed handles a record that forbids the attempt: a voided one asks
-// for a later attempt, a started one for the answer that its agent may hold.
-func (e *Entry) settleClaimed(ctx context.Context, j *job, c sandbarrow.Claim) verdict {
+// resolveClaim handles a claim record that forbids the attempt. If the claim was voided, the
+// request is retried with a higher attempt number. If it was started, the response is fetched
+// from its agent, which may have stored it.
+func (e *Entry) resolveClaim(ctx context.Context, j *job, c sandbarrow.Claim) decision {
 	if c.State == sandbarrow.ClaimVoided {
 		j.attempt.Attempt = max(j.attempt.Attempt, c.Attempt)
-		return verdict{anywhere: true, free: true, retry: true, refusal: sandbarrow.NotRun(sandbarrow.ReasonClaimed, "an earlier attempt was voided", noUpstreamPause)}
+		return decision{allowTried: true, freeRetry: true, retry: true, refusal: sandbarrow.NotRun(sandbarrow.ReasonClaimed, "an earlier attempt was voided", noUpstreamRetryAfter)}
 	}
-	unknown := verdict{refusal: sandbarrow.Unknown(sandbarrow.ReasonClaimed, "the request has started before; its answer can't be had", 0)}
-	for range int(settleTimeout / redialPause) {
+	unknown := decision{refusal: sandbarrow.Unknown(sandbarrow.ReasonClaimed, "the request has started before; its answer can't be had", 0)}
+	for range int(resolveTimeout / redialDelay) {
 		if p := e.peer(c.Box); p != nil {
-			return e.fetchAnswer(ctx, j, p, c, unknown)
+			return e.fetchStoredResponse(ctx, j, p, c, unknown)
 		}
-		pause(ctx, redialPause)
+		pause(ctx, redialDelay)
 	}
 	return unknown
 }
 
-func (e *Entry) fetchAnswer(ctx context.Context, j *job, p *peer, c sandbarrow.Claim, unknown verdict) verdict {
-	result, err := p.answer(ctx, wire.AnswerRequest{Body: j.attempt.Digest(), Claim: c.Token, ID: j.attempt.OnceID})
+func (e *Entry) fetchStoredResponse(ctx context.Context, j *job, p *peer, c sandbarrow.Claim, unknown decision) decision {
+	result, err := p.storedResponse(ctx, wire.AnswerRequest{Body: j.attempt.Digest(), Claim: c.Token, ID: j.attempt.OnceID})
 	switch {
 	case err != nil || j.stream.any():
 		return unknown
 	case result.Outcome == sandbarrow.OutcomeComplete:
 		if result.Origin == nil {
-			result.Origin = &wire.Origin{} // not told: this request's own would be a guess
+			result.Origin = &wire.Origin{} // unknown; this request's model and revision may differ from it
 		}
-		return verdict{result: result}
+		return decision{result: result}
 	}
-	v := judge(j, result)
-	v.retry = false
-	return v
+	d := decideRefusal(j, result)
+	d.retry = false
+	return d
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process between callers and agents: it speaks HTTP to
-// callers, resolves each request under one configuration revision, chooses an
-// upstream and retries where that is safe.
+// Package entry implements the process between callers and agents. It serves HTTP to callers,
+// resolves each request under one configuration revision, chooses an upstream, and retries
+// failed requests where that is safe.
 package entry
 
 import (
@@ -32,19 +32,19 @@
 )
 
 const (
-	// readTimeout bounds the reading of one request, against slow callers.
+	// readTimeout bounds the time to read one request, as a protection against slow callers.
 	readTimeout = 30 * time.Second
-	// writeTimeout bounds the writing of one answer.
+	// writeTimeout bounds the time to write one response.
 	writeTimeout = 10 * time.Minute
-	// unreadyPause is how long a stopping entry still accepts connections, until the balancer has
-	// seen that it is not ready.
-	unreadyPause = time.Second
-	// maxSavedRetries is how many retries a quiet time can save up (docs/design/
-	// retries.md).
+	// unreadyDelay is how long a stopping entry still accepts connections. In this time the load
+	// balancer detects that the entry is not ready.
+	unreadyDelay = time.Second
+	// maxSavedRetries bounds the retry budget that accumulates while few retries are needed
+	// (docs/design/retries.md).
 	maxSavedRetries = 20
 )
 
-// Entry is one entry. Its parts are told apart by their files.
+// Entry is one entry process. Each file of the package implements one part of it.
 type Entry struct {
 	budget       *retry.Budget
 	chooser      sandbarrow.Chooser
@@ -57,19 +57,19 @@
 	listener     net.Listener
 	logger       *slog.Logger
 	metrics      *metrics
-	places       placeCache
+	permits      permitCache
 	serveMetrics fasthttp.RequestHandler
 	settings     *settings.Settings
 	stopping     atomic.Bool
 	tracker      *burn.Tracker
-	work         context.Context // ends after the last request
+	work         context.Context // canceled after the last request
 
-	mu      sync.Mutex
-	leaving map[sandbarrow.BoxID]bool
-	peers   map[sandbarrow.BoxID]*peer
+	mu       sync.Mutex
+	draining map[sandbarrow.BoxID]bool
+	peers    map[sandbarrow.BoxID]*peer
 }
 
-// New returns an entry that listens from now on.
+// New returns an entry whose listener is already open.
 func New(s *settings.Settings, logger *slog.Logger, registry *prometheus.Registry) (*Entry, error) {
 	listener, err := net.Listen("tcp", s.Listen.HTTP)
 	if err != nil {
@@ -84,7 +84,7 @@
 		crashes:      crash.NewLog(boottime.Now),
 		fleet:        fleet,
 		follower:     config.NewFollower(st, logger),
-		leaving:      map[sandbarrow.BoxID]bool{},
+		draining:     map[sandbarrow.BoxID]bool{},
 		limits:       limit.NewClasses(),
 		list:         boxlist.NewHTTP(s.Platform.BoxList),
 		listener:     listener,
@@ -98,7 +98,7 @@
 	return e, nil
 }
 
-// Address is where the entry listens for callers.
+// Address returns the address at which the entry listens for callers.
 func (e *Entry) Address() string {
 	return e.listener.Addr().String()
 }
@@ -108,7 +108,7 @@
 	return !e.stopping.Load() && e.follower.View() != nil && e.Connected() > 0
 }
 
-// Run serves until ctx ends, then finishes what is in progress.
+// Run serves until ctx is canceled, then finishes the requests in progress.
 func (e *Entry) Run(ctx context.Context) error {
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
@@ -133,22 +133,23 @@
 	return g.Wait()
 }
 
-// stop lets the balancer turn away, then finishes what is in progress.
+// stop reports the entry as not ready, waits for the load balancer to notice, then finishes the
+// requests in progress.
 func (e *Entry) stop(server *fasthttp.Server) error {
 	e.stopping.Store(true)
 	e.logger.Info("draining", "why", "stop asked")
-	time.Sleep(unreadyPause)
+	time.Sleep(unreadyDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(e.settings.Entry.StopGrace))
 	defer cancel()
 	return errors.Annotate(server.ShutdownWithContext(ctx), "stopped with work in progress")
 }
 
-// configLoop applies what each new configuration means for this box.
+// configLoop applies each new configuration to this entry.
 func (e *Entry) configLoop(ctx context.Context) error {
 	for {
 		changed := e.follower.Changed()
 		if v := e.follower.View(); v != nil {
-			e.adopt(v)
+			e.applyConfig(v)
 		}
 		select {
 		case <-changed:
@@ -158,14 +159,14 @@
 	}
 }
 
-func (e *Entry) adopt(v *config.View) {
+func (e *Entry) applyConfig(v *config.View) {
 	rates := map[sandbarrow.CallerClass]limit.Rate{}
-	shares := map[sandbarrow.CallerClass]float64{}
+	targets := map[sandbarrow.CallerClass]float64{}
 	for _, c := range v.Document.Classes {
 		rates[c.ID] = limit.Rate{Burst: c.Burst, PerSecond: c.RequestsPerSecond}
-		shares[c.ID] = c.Objective.Share
+		targets[c.ID] = c.Objective.Share
 	}
 	e.limits.Set(time.Now(), rates)
-	e.tracker.SetShares(shares)
-	e.sendMarks()
+	e.tracker.SetTargets(targets)
+	e.sendWatermarks()
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -4,16 +4,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the entry's metrics.
+// metrics holds the entry's metrics.
 type metrics struct {
-	added    prometheus.Histogram
-	requests *prometheus.CounterVec
-	retries  prometheus.Counter
+	firstPart prometheus.Histogram
+	requests  *prometheus.CounterVec
+	retries   prometheus.Counter
 }
 
 func newMetrics(r prometheus.Registerer, e *Entry) *metrics {
 	m := &metrics{
-		added: prometheus.NewHistogram(prometheus.HistogramOpts{
+		firstPart: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "sandbarrow_first_part_seconds",
 			Help:    "Time from a request to the first part of its answer.",
 			Buckets: []float64{0.001, 0.003, 0.01, 0.03, 0.1, 0.31, 1, 3, 10, 30},
@@ -27,7 +27,7 @@
 			Help: "Attempts after the first.",
 		}),
 	}
-	r.MustRegister(m.added, m.requests, m.retries, e.tracker,
+	r.MustRegister(m.firstPart, m.requests, m.retries, e.tracker,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "sandbarrow_agents_connected",
 			Help: "Agents with a live connection.",
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = time.Second
-	// lanes is the number of connections to one agent. One connection decodes
-	// its messages one by one, which bounds it to about 12,000 requests a second.
-	lanes = 4
-	// revokeTimeout bounds the wait for a revoke's reply.
+	// connections is the number of connections to one agent. A connection decodes its
+	// messages sequentially, which limits it to about 12,000 requests a second.
+	connections = 4
+	// revokeTimeout bounds the wait for the reply to a revoke.
 	revokeTimeout = 1500 * time.Millisecond
 )
 
 // The errors of a peer.
 const (
-	// errLost means that the connection ended after the attempt was sent.
+	// errLost means that the connection was lost after the attempt was sent.
 	errLost = errors.ConstError("entry: connection to the agent lost")
-	// errNotSent means that nothing of the attempt was sent.
+	// errNotSent means that no part of the attempt was sent.
 	errNotSent = errors.ConstError("entry: attempt not sent")
-	// errRevoked means that the attempt was withdrawn and never runs.
+	// errRevoked means that the attempt was revoked and never runs.
 	errRevoked = errors.ConstError("entry: attempt revoked")
 )
 
-// peer is the link to one agent. Lane 0 carries its status too.
+// peer holds the connections to one agent. The first one also carries its status.
 type peer struct {
 	box         sandbarrow.Box
 	entry       *Entry
 	handle      atomic.Uint64
-	lastContact atomic.Int64 // when the last message came, in nanoseconds of boottime
+	lastContact atomic.Int64 // when the last message arrived, in nanoseconds of boottime
 	hello       wire.HelloReply
 	index       int
 	inflight    atomic.Int64
-	lanes       []*jsonrpc2.Conn
+	connections []*jsonrpc2.Conn
 
 	mu      sync.Mutex
-	streams map[uint64]*answerStream
+	streams map[uint64]*responseStream
 }
 
-// dial opens the lanes and exchanges greetings.
+// dial opens all connections to an agent and performs the handshake on each.
 func (e *Entry) dial(ctx context.Context, box sandbarrow.Box) (*peer, error) {
-	p := &peer{box: box, entry: e, streams: map[uint64]*answerStream{}}
-	p.contact()
+	p := &peer{box: box, entry: e, streams: map[uint64]*responseStream{}}
+	p.recordContact()
 	ready := make(chan struct{})
-	for i := range lanes {
-		reply, err := p.openLane(ctx, i > 0, ready)
+	for i := range connections {
+		reply, err := p.openConnection(ctx, i > 0, ready)
 		if err == nil && i > 0 && reply.Incarnation != p.hello.Incarnation {
-			err = errors.New("the agent was replaced meanwhile")
+			err = errors.New("the agent was replaced while its connections were opened")
 		}
 		if err != nil {
 			p.close()
@@ -84,8 +84,8 @@
 	return p, nil
 }
 
-// openLane opens one connection. Its messages are served once ready is closed.
-func (p *peer) openLane(ctx context.Context, further bool, ready <-chan struct{}) (wire.HelloReply, error) {
+// openConnection opens one connection. Its messages are handled once ready is closed.
+func (p *peer) openConnection(ctx context.Context, additional bool, ready <-chan struct{}) (wire.HelloReply, error) {
 	var reply wire.HelloReply
 	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", p.box.Address)
@@ -97,91 +97,92 @@
 			<-ready
 			return p.handleMessage(ctx, r)
 		}), jsonrpc2.SetLogger(logging.NewPrinter(p.entry.logger, "jsonrpc2")))
-	p.lanes = append(p.lanes, rpc)
+	p.connections = append(p.connections, rpc)
 	callCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	err = rpc.Call(callCtx, wire.MethodHello, wire.Hello{
 		Box:           p.entry.settings.Box.ID,
 		Config:        p.entry.follower.Mark(),
 		FailureDomain: p.entry.settings.Box.FailureDomain,
-		Lane:          further,
+		Lane:          additional,
 		Protocol:      wire.Protocol,
 	}, &reply)
 	return reply, errors.Annotate(err, "hello")
 }
 
-// close closes all lanes.
+// close closes all connections.
 func (p *peer) close() {
-	for _, rpc := range p.lanes {
-		_ = rpc.Close() // it may be closed already
+	for _, rpc := range p.connections {
+		_ = rpc.Close() // it may already be closed
 	}
 }
 
-// run watches the lanes until one ends. A frozen agent counts as unreachable.
+// run monitors the connections until one is closed or the agent is unreachable, as when its
+// process is suspended.
 func (p *peer) run(ctx context.Context) {
 	defer p.close()
-	ended := make(chan struct{}, lanes)
-	for _, rpc := range p.lanes {
+	disconnected := make(chan struct{}, connections)
+	for _, rpc := range p.connections {
 		go func() {
 			<-rpc.DisconnectNotify()
-			ended <- struct{}{}
+			disconnected <- struct{}{}
 		}()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go p.entry.crashes.FollowOwn(ctx, func(records []crash.Record) error {
-		return p.lanes[0].Notify(ctx, wire.MethodCrashes, wire.Crashes{Records: records})
+		return p.connections[0].Notify(ctx, wire.MethodCrashes, wire.Crashes{Records: records})
 	})
 	t := time.NewTicker(wire.Heartbeat)
 	defer t.Stop()
-	marked := time.Now()
+	lastWatermark := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ended:
+		case <-disconnected:
 			return
 		case <-t.C:
-			if silence := p.silence(); silence > p.patience() {
-				p.entry.logger.Warn("agent is silent, connection closed", "agent", string(p.box.ID), "silence", silence.String())
+			if sinceContact := p.sinceContact(); sinceContact > p.contactTimeout() {
+				p.entry.logger.Warn("agent is silent, connection closed", "agent", string(p.box.ID), "silence", sinceContact.String())
 				return
 			}
-			if p.inflight.Load() > 0 || time.Since(marked) >= wire.IdleHeartbeat {
-				marked = time.Now()
-				go p.sendMark()
+			if p.inflight.Load() > 0 || time.Since(lastWatermark) >= wire.IdleHeartbeat {
+				lastWatermark = time.Now()
+				go p.sendWatermark()
 			}
 		}
 	}
 }
 
-// contact notes that a message has arrived from the agent.
-func (p *peer) contact() {
+// recordContact records that a message has arrived from the agent.
+func (p *peer) recordContact() {
 	p.lastContact.Store(boottime.Now().UnixNano())
 }
 
-// silence is for how long nothing has arrived from the agent.
-func (p *peer) silence() time.Duration {
+// sinceContact returns the time since the last message from the agent.
+func (p *peer) sinceContact() time.Duration {
 	return time.Duration(boottime.Now().UnixNano() - p.lastContact.Load())
 }
 
-// patience is how long nothing may arrive from the agent before it counts as
+// contactTimeout returns the time without a message from the agent after which it counts as
 // unreachable.
-func (p *peer) patience() time.Duration {
+func (p *peer) contactTimeout() time.Duration {
 	if p.inflight.Load() > 0 {
 		return wire.HeartbeatTimeout
 	}
 	return 3 * wire.IdleHeartbeat
 }
 
-func (p *peer) sendMark() {
-	_ = p.lanes[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Mark()) // a lost peer needs none
+func (p *peer) sendWatermark() {
+	_ = p.connections[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Mark()) // useless if disconnected
 }
 
 func (p *peer) handleMessage(ctx context.Context, r *jsonrpc2.Request) (any, error) {
-	p.contact()
+	p.recordContact()
 	switch r.Method {
 	case wire.MethodConfigPull:
-		return wire.Later(p.lanes[0], r, func(q wire.ConfigPull) any { return wire.ReplyTo(q, p.entry.follower.Snapshot()) })
+		return wire.Later(p.connections[0], r, func(q wire.ConfigPull) any { return wire.ReplyTo(q, p.entry.follower.Snapshot()) })
 	case wire.MethodCrashes:
 		var m wire.Crashes
 		if err := wire.Decode(r, &m); err != nil {
@@ -236,16 +237,16 @@
 func (p *peer) pull(ctx context.Context, s wire.Status) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	if err := wire.PullConfig(ctx, p.lanes[0], p.entry.follower, s.Config); err != nil {
+	if err := wire.PullConfig(ctx, p.connections[0], p.entry.follower, s.Config); err != nil {
 		p.entry.logger.Warn("configuration not pulled from peer", "agent", string(p.box.ID), "error", err.Error())
 	}
 }
 
-// attempt runs one attempt. When ctx ends first it is revoked.
-func (p *peer) attempt(ctx context.Context, req wire.AttemptRequest, s *answerStream) (wire.AttemptResult, error) {
+// attempt runs one attempt. If ctx ends before the result arrives, the attempt is revoked.
+func (p *peer) attempt(ctx context.Context, req wire.AttemptRequest, s *responseStream) (wire.AttemptResult, error) {
 	if p.inflight.Add(1) == 1 {
 		// The agent sends heartbeats from now on.
-		p.contact()
+		p.recordContact()
 	}
 	defer p.inflight.Add(-1)
 	req.Handle = p.handle.Add(1)
@@ -258,7 +259,7 @@
 		delete(p.streams, req.Handle)
 		p.mu.Unlock()
 	}()
-	rpc := p.lanes[req.Handle%lanes]
+	rpc := p.connections[req.Handle%connections]
 	call, err := rpc.DispatchCall(ctx, wire.MethodAttempt, req)
 	if err != nil {
 		return wire.AttemptResult{}, errors.Annotate(errNotSent, err.Error())
@@ -270,11 +271,13 @@
 	if ctx.Err() == nil {
 		return result, errors.Annotate(errLost, err.Error())
 	}
-	return giveUp(rpc, req, call)
+	return revoke(rpc, req, call)
 }
 
-// giveUp revokes an attempt on the lane that carried it, behind it. If it has ended meanwhile, its result counts.
-func giveUp(rpc *jsonrpc2.Conn, req wire.AttemptRequest, call jsonrpc2.Waiter) (wire.AttemptResult, error) {
+// revoke revokes an attempt. It uses the connection that carried the attempt, so the agent
+// receives the revoke after it. If the attempt has finished in the meantime, its result is
+// returned.
+func revoke(rpc *jsonrpc2.Conn, req wire.AttemptRequest, call jsonrpc2.Waiter) (wire.AttemptResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	var reply wire.RevokeReply
@@ -292,10 +295,10 @@
 	return result, nil
 }
 
-// answer asks for the kept answer of a once-only request.
-func (p *peer) answer(ctx context.Context, q wire.AnswerRequest) (wire.AttemptResult, error) {
+// storedResponse requests the stored response of an at-most-once request.
+func (p *peer) storedResponse(ctx context.Context, q wire.AnswerRequest) (wire.AttemptResult, error) {
 	var result wire.AttemptResult
-	if err := p.lanes[0].Call(ctx, wire.MethodAnswer, q, &result); err != nil {
+	if err := p.connections[0].Call(ctx, wire.MethodAnswer, q, &result); err != nil {
 		return result, errors.Annotate(errLost, err.Error())
 	}
 	return result, nil
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -9,76 +9,77 @@
 )
 
 const (
-	// listPause is the mean pause between looks at the list of boxes.
-	listPause = 500 * time.Millisecond
-	// redialPause is the mean pause after a failed dial.
-	redialPause = 300 * time.Millisecond
+	// listInterval is the mean interval between two reads of the list of boxes.
+	listInterval = 500 * time.Millisecond
+	// redialDelay is the mean delay after a failed dial.
+	redialDelay = 300 * time.Millisecond
 )
 
-// kept is an agent to which a connection is kept.
-type kept struct {
+// maintainedPeer is an agent to which connections are maintained.
+type maintainedPeer struct {
 	address string
 	cancel  context.CancelFunc
 }
 
-// peerLoop keeps a connection to each agent in the list of boxes. While the
-// list does not answer, the last view holds.
+// peerLoop maintains connections to each agent in the list of boxes. If the list can't be read,
+// the last one stays in use.
 func (e *Entry) peerLoop(ctx context.Context) error {
-	running := map[sandbarrow.BoxID]kept{}
+	maintained := map[sandbarrow.BoxID]maintainedPeer{}
 	defer func() {
-		for _, k := range running {
-			k.cancel()
+		for _, m := range maintained {
+			m.cancel()
 		}
 	}()
 	for ctx.Err() == nil {
 		boxes, err := e.list.Boxes(ctx)
 		if err == nil {
-			e.takeBoxes(ctx, boxes, running)
+			e.applyBoxes(ctx, boxes, maintained)
 		} else if ctx.Err() == nil {
-			e.logger.Warn("list of boxes not read, the last view holds", "error", err.Error())
+			e.logger.Warn("list of boxes not read; using the last one", "error", err.Error())
 		}
-		pause(ctx, listPause)
+		pause(ctx, listInterval)
 	}
 	return nil
 }
 
-// takeBoxes starts and ends connections by a new view of the list. A box that
-// is no longer listed keeps its connection while that lives: the list lags.
-func (e *Entry) takeBoxes(ctx context.Context, boxes []sandbarrow.Box, running map[sandbarrow.BoxID]kept) {
+// applyBoxes opens and closes connections according to a new list of boxes. The connections to
+// a box that is no longer listed stay open until they are lost, because the list may be
+// outdated.
+func (e *Entry) applyBoxes(ctx context.Context, boxes []sandbarrow.Box, maintained map[sandbarrow.BoxID]maintainedPeer) {
 	listed := map[sandbarrow.BoxID]bool{}
-	leaving := map[sandbarrow.BoxID]bool{}
+	draining := map[sandbarrow.BoxID]bool{}
 	for _, b := range boxes {
 		if b.Role != sandbarrow.RoleAgent {
 			continue
 		}
 		listed[b.ID] = true
-		leaving[b.ID] = b.State == sandbarrow.BoxDraining
+		draining[b.ID] = b.State == sandbarrow.BoxDraining
 	}
 	e.mu.Lock()
-	e.leaving = leaving
+	e.draining = draining
 	for id, p := range e.peers {
-		if leaving[id] {
+		if draining[id] {
 			e.fleet.SetAvailable(p.index, false)
 		}
 	}
 	e.mu.Unlock()
 	for _, b := range boxes {
-		if b.Role == sandbarrow.RoleAgent && !leaving[b.ID] {
-			e.keep(ctx, b, running)
+		if b.Role == sandbarrow.RoleAgent && !draining[b.ID] {
+			e.maintain(ctx, b, maintained)
 		}
 	}
-	for id, k := range running {
+	for id, m := range maintained {
 		if !listed[id] && e.peer(id) == nil {
-			k.cancel()
-			delete(running, id)
+			m.cancel()
+			delete(maintained, id)
 		}
 	}
 }
 
-// keep starts to keep a connection, anew for a box that has moved. A connection
-// that lives is not cut for it.
-func (e *Entry) keep(ctx context.Context, b sandbarrow.Box, running map[sandbarrow.BoxID]kept) {
-	old, ok := running[b.ID]
+// maintain starts to maintain connections to a box. If the box's address has changed, it dials
+// the new address, but not while the old connections are open.
+func (e *Entry) maintain(ctx context.Context, b sandbarrow.Box, maintained map[sandbarrow.BoxID]maintainedPeer) {
+	old, ok := maintained[b.ID]
 	if ok && (old.address == b.Address || e.peer(b.ID) != nil) {
 		return
 	}
@@ -86,17 +87,17 @@
 		old.cancel()
 	}
 	peerCtx, cancel := context.WithCancel(ctx)
-	running[b.ID] = kept{address: b.Address, cancel: cancel}
-	go e.keepPeer(peerCtx, b)
+	maintained[b.ID] = maintainedPeer{address: b.Address, cancel: cancel}
+	go e.maintainPeer(peerCtx, b)
 }
 
-// keepPeer dials an agent again whenever its connection ends.
-func (e *Entry) keepPeer(ctx context.Context, box sandbarrow.Box) {
+// maintainPeer connects to an agent and dials it again whenever a connection is lost.
+func (e *Entry) maintainPeer(ctx context.Context, box sandbarrow.Box) {
 	for ctx.Err() == nil {
 		p, err := e.dial(ctx, box)
 		if err != nil {
-			e.logger.Debug("agent not reached", "agent", string(box.ID), "error", err.Error())
-			pause(ctx, redialPause)
+			e.logger.Debug("connection to agent failed; dialing again", "agent", string(box.ID), "error", err.Error())
+			pause(ctx, redialDelay)
 			continue
 		}
 		e.setPeer(box.ID, p)
@@ -115,8 +116,8 @@
 	e.peers[id] = p
 }
 
-// removePeer forgets a peer whose connection ended, unless a newer one took its
-// place, and reports whether it did so.
+// removePeer removes a disconnected peer, unless a newer one has replaced it. It reports whether
+// the peer was removed.
 func (e *Entry) removePeer(id sandbarrow.BoxID, p *peer) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,7 +134,7 @@
 	return e.peers[id]
 }
 
-// peerAt returns the peer of an upstream's index.
+// peerAt returns the peer with the given upstream index.
 func (e *Entry) peerAt(index int) *peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,19 +156,19 @@
 func (e *Entry) isDraining(id sandbarrow.BoxID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.leaving[id]
+	return e.draining[id]
 }
 
-// sendMarks tells all agents of a new configuration at once.
-func (e *Entry) sendMarks() {
+// sendWatermarks immediately sends the watermark of a new configuration to all agents.
+func (e *Entry) sendWatermarks() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.peers {
-		go p.sendMark()
+		go p.sendWatermark()
 	}
 }
 
-// pause sleeps about d, jittered, or until ctx ends.
+// pause sleeps for a jittered duration of d on average, or until ctx is canceled.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d/2 + rand.N(d)):
--- a/entry/places.go
+++ b/entry/permitcache.go
@@ -9,27 +9,27 @@
 	"sandbarrow.example/sandbarrow/policy"
 )
 
-type placeKey struct {
+type permitKey struct {
 	class  sandbarrow.CallerClass
 	policy sandbarrow.PolicyID
 }
 
-// placeCache keeps which upstreams each policy permits, for one configuration
-// and one membership of the fleet.
-type placeCache struct {
+// permitCache caches which upstreams each policy permits for a class. It is valid for one
+// configuration and one membership of the fleet.
+type permitCache struct {
 	mu    sync.Mutex
 	epoch int
-	sets  map[placeKey]*sandbarrow.IndexSet
+	sets  map[permitKey]*sandbarrow.IndexSet
 	view  *config.View
 }
 
-// permitted returns the upstreams where a policy lets a class run.
-func (c *placeCache) permitted(v *config.View, f *placement.Fleet, key placeKey) (*sandbarrow.IndexSet, error) {
+// permitted returns the upstreams at which a policy permits a class to run.
+func (c *permitCache) permitted(v *config.View, f *placement.Fleet, key permitKey) (*sandbarrow.IndexSet, error) {
 	count, epoch := f.Members()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sets == nil || c.view != v || c.epoch != epoch {
-		c.sets, c.view, c.epoch = map[placeKey]*sandbarrow.IndexSet{}, v, epoch
+		c.sets, c.view, c.epoch = map[permitKey]*sandbarrow.IndexSet{}, v, epoch
 	}
 	if set, ok := c.sets[key]; ok {
 		return set, nil
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -15,8 +15,8 @@
 // problemType is the media type of RFC 9457.
 const problemType = "application/problem+json"
 
-// Problem is the body of an answer that is not whole, by RFC 9457. The last
-// members are this project's.
+// Problem is the body of an error response, as defined by RFC 9457. Outcome, Reason, RequestID
+// and RetryAfterMS are extensions of this project.
 type Problem struct {
 	Detail       string               `json:"detail"`
 	Outcome      sandbarrow.Outcome   `json:"outcome"`
@@ -58,10 +58,10 @@
 	}
 }
 
-// writeProblem answers with a refusal.
+// writeProblem writes a refusal as the response.
 func writeProblem(ctx *fasthttp.RequestCtx, id sandbarrow.RequestID, r *sandbarrow.Refusal) {
 	p := problemOf(id, r)
-	body, _ := json.Marshal(p) // plain texts and numbers always marshal
+	body, _ := json.Marshal(p) // strings and numbers always marshal
 	ctx.Response.Reset()
 	ctx.SetStatusCode(p.Status)
 	ctx.SetContentType(problemType)
@@ -72,7 +72,7 @@
 	ctx.SetBody(body)
 }
 
-// clampRetry keeps a Retry-After within what makes sense to a caller.
-func clampRetry(d time.Duration) time.Duration {
+// clampRetryAfter limits a Retry-After to a range that is useful to callers.
+func clampRetryAfter(d time.Duration) time.Duration {
 	return min(time.Minute, max(100*time.Millisecond, d))
 }
--- a/entry/answerstream.go
+++ b/entry/responsestream.go
@@ -9,19 +9,19 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// maxBufferedBytes is how far a caller may fall behind its answer.
+// maxBufferedBytes bounds the response bytes that are buffered for a slow caller.
 const maxBufferedBytes = 4 << 20
 
-// The errors of an answerStream.
+// The errors of a responseStream.
 const (
-	// errFrames means that frames were lost or came out of order.
-	errFrames = errors.ConstError("entry: frames lost or out of order")
-	// errSlowCaller means that the caller reads too slowly.
+	// errFrameSequence means that frames were lost or arrived out of order.
+	errFrameSequence = errors.ConstError("entry: frames lost or out of order")
+	// errSlowCaller means that the caller reads too slowly and the buffer is full.
 	errSlowCaller = errors.ConstError("entry: caller reads too slowly")
 )
 
-// answerStream holds the frames of one attempt between agent and caller.
-type answerStream struct {
+// responseStream buffers the frames of one attempt between agent and caller.
+type responseStream struct {
 	mu       sync.Mutex
 	buffered int
 	changed  chan struct{}
@@ -31,20 +31,20 @@
 	received int
 }
 
-func newAnswerStream() *answerStream {
-	return &answerStream{changed: make(chan struct{})}
+func newResponseStream() *responseStream {
+	return &responseStream{changed: make(chan struct{})}
 }
 
-// push takes the next frame. It never blocks, so that one slow caller does not
-// hold up the connection.
-func (s *answerStream) push(f wire.Frame) {
+// push appends the next frame. It never blocks: one slow caller must not block the
+// connection, which other requests share.
+func (s *responseStream) push(f wire.Frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.err != nil || s.ended:
 		return
 	case f.Sequence != s.received:
-		s.err = errFrames
+		s.err = errFrameSequence
 	case s.buffered+len(f.Data) > maxBufferedBytes:
 		s.err = errSlowCaller
 	default:
@@ -55,19 +55,19 @@
 	s.wake()
 }
 
-// end closes the stream; want is the number of frames of the whole answer.
-func (s *answerStream) end(want int) {
+// end closes the stream. want is the number of frames of the complete response.
+func (s *responseStream) end(want int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.received != want && s.err == nil {
-		s.err = errFrames
+		s.err = errFrameSequence
 	}
 	s.ended = true
 	s.wake()
 }
 
 // fail closes the stream with an error.
-func (s *answerStream) fail(err error) {
+func (s *responseStream) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -76,21 +76,21 @@
 	s.wake()
 }
 
-// wake wakes the reader. The caller holds mu.
-func (s *answerStream) wake() {
+// wake wakes the reader. The caller must hold mu.
+func (s *responseStream) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// any reports whether a frame has come.
-func (s *answerStream) any() bool {
+// any reports whether a frame has been received.
+func (s *responseStream) any() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.received > 0
 }
 
-// next waits for frames; it returns none at the end of the answer.
-func (s *answerStream) next(ctx context.Context) ([]wire.Frame, error) {
+// next waits for frames. It returns none at the end of the response.
+func (s *responseStream) next(ctx context.Context) ([]wire.Frame, error) {
 	for {
 		s.mu.Lock()
 		frames, ended, err, changed := s.frames, s.ended, s.err, s.changed
--- a/entry/server.go
+++ b/entry/server.go
@@ -21,43 +21,43 @@
 	"sandbarrow.example/sandbarrow/logging"
 )
 
-// The headers that callers and entries exchange.
+// The headers of requests and responses between callers and entries.
 const (
-	headerDeadline   = "Sandbarrow-Deadline-Ms"
-	headerIdempotent = "Idempotency-Key"
-	headerModel      = "Sandbarrow-Model"
-	headerOnce       = "Sandbarrow-Once"
-	headerPrefix     = "Sandbarrow-"
-	headerRequestID  = "X-Request-Id"
-	headerRevision   = "Sandbarrow-Revision"
+	headerDeadline       = "Sandbarrow-Deadline-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerModel          = "Sandbarrow-Model"
+	headerOnce           = "Sandbarrow-Once"
+	headerPrefix         = "Sandbarrow-"
+	headerRequestID      = "X-Request-Id"
+	headerRevision       = "Sandbarrow-Revision"
 )
 
 const (
-	// maxDeadline bounds the deadline that a caller may state.
+	// maxDeadline bounds the deadline that a caller may request.
 	maxDeadline = 10 * time.Minute
-	// maxDrainBytes bounds what is read of a body that is too large.
+	// maxDrainBytes bounds the bytes read and discarded from a body that is too large.
 	maxDrainBytes = 64 << 20
 )
 
-// request is one HTTP request with what is known of its caller.
+// request is one HTTP request with its caller and the resolved settings.
 type request struct {
-	adapter  sandbarrow.ModelRef // zero until it is resolved
-	body     []byte
-	caller   *config.Caller
-	class    *config.Class
-	ctx      *fasthttp.RequestCtx
-	deadline time.Time
-	id       sandbarrow.RequestID
-	marked   bool
-	onceKey  string
-	started  time.Time
-	view     *config.View
+	adapter        sandbarrow.ModelRef // zero until the model is resolved
+	body           []byte
+	caller         *config.Caller
+	class          *config.Class
+	ctx            *fasthttp.RequestCtx
+	deadline       time.Time
+	id             sandbarrow.RequestID
+	atMostOnce     bool
+	idempotencyKey string
+	started        time.Time
+	view           *config.View
 }
 
 func (e *Entry) server() *fasthttp.Server {
 	return &fasthttp.Server{
 		CloseOnShutdown:       true,
-		ErrorHandler:          e.serveBroken,
+		ErrorHandler:          e.serveMalformed,
 		Handler:               e.serve,
 		MaxRequestBodySize:    e.settings.Entry.MaxBodyBytes,
 		Name:                  "sandbarrow",
@@ -69,8 +69,8 @@
 	}
 }
 
-// serveBroken answers what is no request: malformed or too slow.
-func (e *Entry) serveBroken(ctx *fasthttp.RequestCtx, err error) {
+// serveMalformed responds to a request that can't be read: it is malformed or arrives too slowly.
+func (e *Entry) serveMalformed(ctx *fasthttp.RequestCtx, err error) {
 	r := sandbarrow.NotRun(sandbarrow.ReasonBadRequest, err.Error(), 0)
 	writeProblem(ctx, newRequestID(), r)
 	e.metrics.requests.WithLabelValues("", string(r.Outcome), string(r.Reason)).Inc()
@@ -95,7 +95,7 @@
 
 func (e *Entry) serveCaller(ctx *fasthttp.RequestCtx, path string) {
 	r := &request{ctx: ctx, id: newRequestID(), started: boottime.Now(), view: e.follower.View()}
-	if refusal := e.identify(r); refusal != nil {
+	if refusal := e.admit(r); refusal != nil {
 		e.refuse(r, refusal)
 		return
 	}
@@ -117,10 +117,11 @@
 	}
 }
 
-// identify reads the caller and the headers, and holds the caller to its limit.
-func (e *Entry) identify(r *request) *sandbarrow.Refusal {
+// admit authenticates the caller, reads the headers and applies the rate limit of the caller's
+// class.
+func (e *Entry) admit(r *request) *sandbarrow.Refusal {
 	if r.view == nil {
-		return sandbarrow.NotRun(sandbarrow.ReasonConfiguration, "no configuration yet", noUpstreamPause)
+		return sandbarrow.NotRun(sandbarrow.ReasonConfiguration, "no configuration yet", noUpstreamRetryAfter)
 	}
 	key, ok := strings.CutPrefix(string(r.ctx.Request.Header.Peek("Authorization")), "Bearer ")
 	if !ok {
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// readBody reads the body. One that is too large is drained, so that its
-// caller reads the answer and not a reset connection.
+// readBody reads the body. A body that is too large is drained. Otherwise the connection would be
+// reset and the caller might not receive the response.
 func (e *Entry) readBody(r *request) *sandbarrow.Refusal {
 	limit := e.settings.Entry.MaxBodyBytes
 	stream := r.ctx.RequestBodyStream()
@@ -155,7 +156,7 @@
 	if len(r.body) <= limit {
 		return nil
 	}
-	_, _ = io.CopyN(io.Discard, stream, maxDrainBytes) // the rest is of no use
+	_, _ = io.CopyN(io.Discard, stream, maxDrainBytes) // only drains; a failed read changes nothing
 	r.ctx.SetConnectionClose()
 	return sandbarrow.NotRun(sandbarrow.ReasonTooLarge, "body is over "+strconv.Itoa(limit)+" bytes", 0)
 }
@@ -165,8 +166,8 @@
 		return sandbarrow.NotRun(sandbarrow.ReasonBadRequest, detail, 0)
 	}
 	r.deadline = r.started.Add(time.Duration(e.settings.Entry.DefaultDeadline))
-	r.onceKey = string(r.ctx.Request.Header.Peek(headerIdempotent))
-	r.marked = r.onceKey != ""
+	r.idempotencyKey = string(r.ctx.Request.Header.Peek(headerIdempotencyKey))
+	r.atMostOnce = r.idempotencyKey != ""
 	for name, value := range r.ctx.Request.Header.All() {
 		switch {
 		case strings.EqualFold(string(name), headerDeadline):
@@ -179,7 +180,7 @@
 			if string(value) != "true" && string(value) != "false" {
 				return bad(headerOnce + ": want true or false")
 			}
-			r.marked = r.marked || string(value) == "true"
+			r.atMostOnce = r.atMostOnce || string(value) == "true"
 		case len(name) >= len(headerPrefix) && strings.EqualFold(string(name[:len(headerPrefix)]), headerPrefix):
 			return bad("unknown header " + string(name))
 		}
@@ -187,13 +188,13 @@
 	return nil
 }
 
-// onceID is the identity under which a once-only request is claimed. A caller
-// that gives a key may repeat the request; without one each request is its own.
+// onceID returns the ID under which an at-most-once request is claimed. With an idempotency key,
+// a retry by the caller has the same ID. Without one, each request has an ID of its own.
 func (r *request) onceID() sandbarrow.RequestID {
-	if r.onceKey == "" {
+	if r.idempotencyKey == "" {
 		return r.id
 	}
-	return sandbarrow.RequestID(string(r.caller.ID) + "/" + r.onceKey)
+	return sandbarrow.RequestID(string(r.caller.ID) + "/" + r.idempotencyKey)
 }
 
 func (e *Entry) serveModels(r *request) {
@@ -206,13 +207,13 @@
 	for _, a := range r.view.Document.Adapters {
 		models = append(models, model{ID: string(a.ID), Object: "model", Parent: string(a.BaseModel)})
 	}
-	body, _ := json.Marshal(map[string]any{"object": "list", "data": models}) // plain texts always marshal
+	body, _ := json.Marshal(map[string]any{"object": "list", "data": models}) // strings always marshal
 	r.ctx.SetContentType("application/json")
 	r.ctx.SetBody(body)
 }
 
-// callerFaults are the reasons that lie with the caller.
-var callerFaults = []sandbarrow.Reason{
+// callerErrors are the reasons that are caused by the caller.
+var callerErrors = []sandbarrow.Reason{
 	sandbarrow.ReasonBadRequest,
 	sandbarrow.ReasonNotFound,
 	sandbarrow.ReasonRateLimit,
@@ -220,17 +221,18 @@
 	sandbarrow.ReasonUnknownModel,
 }
 
-// refuse ends a request with a problem body.
+// refuse ends a request with a problem response.
 func (e *Entry) refuse(r *request, refusal *sandbarrow.Refusal) {
-	if refusal.RetryAfter > 0 && refusal.Reason != sandbarrow.ReasonCrashesUpstreams { // known to the second
-		refusal.RetryAfter = clampRetry(refusal.RetryAfter)
+	if refusal.RetryAfter > 0 && refusal.Reason != sandbarrow.ReasonCrashesUpstreams { // its expiry time is exact
+		refusal.RetryAfter = clampRetryAfter(refusal.RetryAfter)
 	}
 	writeProblem(r.ctx, r.id, refusal)
-	e.count(r, refusal)
+	e.recordResult(r, refusal)
 }
 
-// count records how a request ended; refusal is nil for a whole answer.
-func (e *Entry) count(r *request, refusal *sandbarrow.Refusal) {
+// recordResult records the result of a request in the log, the metrics and the error budget.
+// refusal is nil for a complete response.
+func (e *Entry) recordResult(r *request, refusal *sandbarrow.Refusal) {
 	class, outcome, reason := sandbarrow.CallerClass(""), sandbarrow.OutcomeComplete, sandbarrow.Reason("")
 	if r.caller != nil {
 		class = r.caller.Class
@@ -238,17 +240,17 @@
 	if refusal != nil {
 		outcome, reason = refusal.Outcome, refusal.Reason
 	}
-	e.logEnd(r, class, refusal)
+	e.logResult(r, class, refusal)
 	e.metrics.requests.WithLabelValues(string(class), string(outcome), string(reason)).Inc()
-	// A fault of the caller is no failure of the service.
-	fault := slices.Contains(callerFaults, reason)
-	if r.caller != nil && !fault {
-		e.tracker.Record(time.Now(), class, burn.ObjectiveAnswer, refusal == nil)
+	// An error of the caller is not a failure of the service.
+	callerError := slices.Contains(callerErrors, reason)
+	if r.caller != nil && !callerError {
+		e.tracker.Record(time.Now(), class, burn.ObjectiveResponse, refusal == nil)
 	}
 }
 
-// logEnd writes how a request ended: refusals at info, whole answers at debug.
-func (e *Entry) logEnd(r *request, class sandbarrow.CallerClass, refusal *sandbarrow.Refusal) {
+// logResult logs the result of a request: refusals at info, complete responses at debug.
+func (e *Entry) logResult(r *request, class sandbarrow.CallerClass, refusal *sandbarrow.Refusal) {
 	if refusal == nil && !e.logger.Enabled(e.work, slog.LevelDebug) {
 		return
 	}
@@ -257,18 +259,18 @@
 		l = l.With("revision", uint64(r.view.Revision))
 	}
 	if refusal == nil {
-		l.Debug("request answered")
+		l.Debug("request completed")
 		return
 	}
 	l.Info("request refused", "outcome", string(refusal.Outcome), "reason", string(refusal.Reason), "detail", refusal.Detail)
 }
 
-// countFirst records the time of the first part of an answer.
-func (e *Entry) countFirst(r *request) {
-	took := boottime.Since(r.started)
-	e.metrics.added.Observe(took.Seconds())
-	if aim := time.Duration(r.class.Objective.FirstToken); aim > 0 {
-		e.tracker.Record(time.Now(), r.caller.Class, burn.ObjectiveFirstToken, took <= aim)
+// recordFirstPart records the time to the first part of a response.
+func (e *Entry) recordFirstPart(r *request) {
+	elapsed := boottime.Since(r.started)
+	e.metrics.firstPart.Observe(elapsed.Seconds())
+	if target := time.Duration(r.class.Objective.FirstToken); target > 0 {
+		e.tracker.Record(time.Now(), r.caller.Class, burn.ObjectiveFirstToken, elapsed <= target)
 	}
 }
 
--- a/entry/suspension_test.go
+++ b/entry/suspension_test.go
@@ -10,12 +10,12 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-func TestAgentSilenceCountsASuspension(t *testing.T) {
+func TestTimeSinceContactIncludesSuspension(t *testing.T) {
 	p := &peer{}
-	p.contact()
-	assert.Assert(t, p.silence() < wire.HeartbeatTimeout)
+	p.recordContact()
+	assert.Assert(t, p.sinceContact() < wire.HeartbeatTimeout)
 	j := &job{deadline: boottime.Now().Add(time.Minute)}
 	boottime.Suspend(time.Minute)
-	assert.Check(t, p.silence() > wire.HeartbeatTimeout)
-	assert.Check(t, j.left() <= 0, "%v left", j.left())
+	assert.Check(t, p.sinceContact() > wire.HeartbeatTimeout)
+	assert.Check(t, j.timeLeft() <= 0, "%v left", j.timeLeft())
 }
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -14,47 +14,48 @@
 )
 
 const (
-	// syncBodyBytes is the largest body that is written before the answer is read; a larger one may
-	// be answered before it has been read. It fits into a socket's buffer.
+	// syncBodyBytes is the largest body that is written before the response is read. It fits into
+	// a socket's buffer. A larger body is written concurrently, because the upstream may respond
+	// before it has read the whole body.
 	syncBodyBytes = 8 << 10
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes bounds the size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// maxSurplus is how many answers to others are skipped.
-	maxSurplus = 3
+	// maxStaleResponses bounds the responses to earlier requests that are skipped.
+	maxStaleResponses = 3
 )
 
-// Request is a request as an upstream gets it.
+// Request is a request as it is sent to an upstream.
 type Request struct {
 	Body   []byte
 	Header http.Header
 	Host   string
-	// ID must come back in IDHeader of the answer.
+	// ID is the value that IDHeader must have in the response.
 	ID       string
 	IDHeader string
 	Method   string
-	// MayLeave is asked right before the request leaves, after a connection has come about; false
-	// ends the send as ErrNotSent. nil sends in any case.
+	// AllowSend is called when a connection is open, immediately before the request is written.
+	// If it returns false, Send fails with ErrNotSent. If it is nil, the request is always sent.
 	MayLeave func() bool
-	// Target is the path and query, unaltered.
+	// Target is the path and query, without any change to its encoding.
 	Target string
 }
 
-// Answer is an answer whose head has been read.
+// Response is a response whose header has been read. It must be closed.
 type Answer struct {
 	Header http.Header
 	Status int
 
-	body    *bufio.Reader
-	conn    *conn
-	pool    *Pool
-	release func() bool
-	resp    *http.Response
-	whole   bool
-	written chan error
+	body       *bufio.Reader
+	conn       *conn
+	pool       *Pool
+	stopCancel func() bool
+	resp       *http.Response
+	complete   bool
+	written    chan error
 }
 
-// Send gives a request to the upstream and reads the head of its answer. The
-// answer must be closed. When ctx ends, the connection is closed. The error is
+// Send sends a request to the upstream and reads the header of its response. The caller must
+// close the response. The connection is closed if ctx is canceled before that. The error is
 // ErrNotSent or ErrBroken.
 func (p *Pool) Send(ctx context.Context, r *Request) (*Answer, error) {
 	c, err := p.get(ctx)
@@ -63,47 +64,47 @@
 	}
 	if r.MayLeave != nil && !r.MayLeave() {
 		_ = c.Close()
-		return nil, errors.Annotate(ErrNotSent, "withheld")
+		return nil, errors.Annotate(ErrNotSent, "AllowSend returned false")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	a := &Answer{conn: c, pool: p, release: stop}
-	if err := a.write(r); err != nil {
-		a.Close()
+	rs := &Answer{conn: c, pool: p, stopCancel: stop}
+	if err := rs.write(r); err != nil {
+		rs.Close()
 		return nil, errors.Annotate(ErrBroken, err.Error())
 	}
-	if err := a.readHead(r); err != nil {
-		a.Close()
+	if err := rs.readHeader(r); err != nil {
+		rs.Close()
 		return nil, errors.Annotate(ErrBroken, err.Error())
 	}
-	return a, nil
+	return rs, nil
 }
 
-func (a *Answer) write(r *Request) error {
+func (rs *Answer) write(r *Request) error {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.Write(&b) // a Buffer never fails
+	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
 	if len(r.Body) <= syncBodyBytes {
-		_, err := a.conn.Write(b.Bytes())
+		_, err := rs.conn.Write(b.Bytes())
 		return err
 	}
-	a.written = make(chan error, 1)
+	rs.written = make(chan error, 1)
 	go func() {
-		_, err := a.conn.Write(b.Bytes())
-		a.written <- err
+		_, err := rs.conn.Write(b.Bytes())
+		rs.written <- err
 	}()
 	return nil
 }
 
-// readHead reads heads until one carries the request's id. An answer to
-// another request, late on this connection, is skipped.
-func (a *Answer) readHead(r *Request) error {
-	for range maxSurplus + 1 {
-		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: r.Method})
+// readHeader reads response headers until one has the request's ID. It skips late responses to
+// earlier requests on this connection.
+func (rs *Answer) readHeader(r *Request) error {
+	for range maxStaleResponses + 1 {
+		resp, err := http.ReadResponse(rs.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return err
 		}
@@ -111,52 +112,52 @@
 			continue
 		}
 		if resp.Header.Get(r.IDHeader) == r.ID {
-			a.Header, a.Status, a.resp = resp.Header, resp.StatusCode, resp
-			a.body = bufio.NewReader(resp.Body)
+			rs.Header, rs.Status, rs.resp = resp.Header, resp.StatusCode, resp
+			rs.body = bufio.NewReader(resp.Body)
 			return nil
 		}
 		if resp.Header.Get(r.IDHeader) == "" || resp.Close {
-			return errors.Errorf("answer with id %q", resp.Header.Get(r.IDHeader))
+			return errors.Errorf("response has request ID %q", resp.Header.Get(r.IDHeader))
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
 		}
 	}
-	return errors.New("only answers to other requests")
+	return errors.New("too many responses to other requests")
 }
 
-// Body reads the whole body, of at most limit bytes.
-func (a *Answer) Body(limit int) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.body, int64(limit)+1))
+// Body reads the complete body, which must not exceed limit bytes.
+func (rs *Answer) Body(limit int) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(rs.body, int64(limit)+1))
 	if err != nil {
 		return nil, errors.Annotate(ErrBroken, err.Error())
 	}
 	if len(body) > limit {
-		return nil, errors.Annotatef(ErrBroken, "body over %d bytes", limit)
+		return nil, errors.Annotatef(ErrBroken, "body exceeds %d bytes", limit)
 	}
-	a.whole = true
+	rs.complete = true
 	return body, nil
 }
 
-// Event reads one complete event of a stream, with the empty line that ends it.
-// io.EOF means that the stream is complete.
-func (a *Answer) Event() ([]byte, error) {
+// Event reads one complete event of a stream, including the empty line at its end. It returns
+// io.EOF when the stream is complete.
+func (rs *Answer) Event() ([]byte, error) {
 	var event []byte
 	for {
-		line, err := a.body.ReadSlice('\n')
+		line, err := rs.body.ReadSlice('\n')
 		event = append(event, line...)
 		if errors.Is(err, bufio.ErrBufferFull) && len(event) < maxEventBytes {
 			continue
 		}
 		if err == io.EOF && len(event) == 0 {
-			a.whole = true
+			rs.complete = true
 			return nil, io.EOF
 		}
 		if err != nil {
-			return nil, errors.Annotatef(ErrBroken, "event cut after %d bytes: %v", len(event), err)
+			return nil, errors.Annotatef(ErrBroken, "event truncated after %d bytes: %v", len(event), err)
 		}
 		if len(event) > maxEventBytes {
-			return nil, errors.Annotatef(ErrBroken, "event over %d bytes", maxEventBytes)
+			return nil, errors.Annotatef(ErrBroken, "event exceeds %d bytes", maxEventBytes)
 		}
 		if end := strings.TrimRight(string(line), "\r\n"); end == "" && len(event) > len(line) {
 			return event, nil
@@ -164,7 +165,7 @@
 	}
 }
 
-// EventID returns the id of an event, or "".
+// EventID returns the ID of an event, or "" if it has none.
 func EventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -174,32 +175,34 @@
 	return ""
 }
 
-// Close gives the connection back if the answer was read to its end and nothing
-// else is under way on it; else it closes the connection.
-func (a *Answer) Close() {
-	stopped := a.release()
-	if a.whole && stopped && a.wasWritten() && !a.resp.Close && a.conn.reader.Buffered() == 0 {
-		a.pool.put(a.conn, idleTime(a.Header))
+// Close returns the connection to the pool if it can be reused: the request was written and the
+// response read completely, no further bytes have arrived, the context of Send was not canceled,
+// and the upstream keeps the connection open. Otherwise Close closes the connection.
+func (rs *Answer) Close() {
+	stopped := rs.stopCancel()
+	if rs.complete && stopped && rs.requestWritten() && !rs.resp.Close && rs.conn.reader.Buffered() == 0 {
+		rs.pool.put(rs.conn, keepAliveTimeout(rs.Header))
 		return
 	}
-	_ = a.conn.Close()
+	_ = rs.conn.Close()
 }
 
-// wasWritten reports whether the upstream has taken the whole request.
-func (a *Answer) wasWritten() bool {
-	if a.written == nil {
+// requestWritten reports whether the complete request has been written.
+func (rs *Answer) requestWritten() bool {
+	if rs.written == nil {
 		return true
 	}
 	select {
-	case err := <-a.written:
+	case err := <-rs.written:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// idleTime reads how long the upstream keeps an idle connection.
-func idleTime(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the upstream keeps an idle connection open, or 0 if the header
+// doesn't name it.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
--- a/forward/exchange_test.go
+++ b/forward/exchange_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// upstream answers each request on each connection by the script's bytes.
-func upstream(t *testing.T, script func(c net.Conn, id string, turn int)) *Pool {
+// scriptedUpstream runs an upstream that calls script for each request and returns a pool for it.
+func scriptedUpstream(t *testing.T, script func(c net.Conn, id string, turn int)) *Pool {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -52,111 +52,111 @@
 
 func write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-func whole(id, body string) string {
+func completeResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
 func itoa(n int) string { return string(rune('0' + n)) }
 
-func TestWholeAnswerKeepsConnection(t *testing.T) {
+func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	var mu sync.Mutex
 	conns := map[string]bool{}
-	p := upstream(t, func(c net.Conn, id string, _ int) {
+	p := scriptedUpstream(t, func(c net.Conn, id string, _ int) {
 		mu.Lock()
 		conns[c.RemoteAddr().String()] = true
 		mu.Unlock()
-		write(c, whole(id, "hello"))
+		write(c, completeResponse(id, "hello"))
 	})
 	for range 3 {
-		a, err := p.Send(t.Context(), request("1"))
+		resp, err := p.Send(t.Context(), request("1"))
 		assert.NilError(t, err)
-		body, err := a.Body(100)
+		body, err := resp.Body(100)
 		assert.NilError(t, err)
 		assert.Equal(t, string(body), "hello")
-		a.Close()
+		resp.Close()
 	}
 	assert.Equal(t, len(conns), 1)
 }
 
-// What is no whole answer to the request is an error, never a body.
-func TestBrokenAnswers(t *testing.T) {
+// A malformed, truncated or foreign response is an error; its body is never returned.
+func TestBrokenResponsesAreErrors(t *testing.T) {
 	for name, text := range map[string]string{
-		"no answer":           "",
-		"no HTTP":             "\x00\x01rubbish\r\n\r\n",
-		"body cut":            "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhell",
-		"chunk cut":           "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe",
-		"answer to another":   "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 1\r\n\r\nx",
-		"answer without id":   "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
-		"body over the limit": whole("1", strings.Repeat("x", 9)),
+		"no response":         "",
+		"not HTTP":            "\x00\x01rubbish\r\n\r\n",
+		"cut body":            "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhell",
+		"cut chunk":           "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe",
+		"other request's ID":  "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 1\r\n\r\nx",
+		"no request ID":       "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
+		"body over the limit": completeResponse("1", strings.Repeat("x", 9)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := upstream(t, func(c net.Conn, _ string, _ int) {
+			p := scriptedUpstream(t, func(c net.Conn, _ string, _ int) {
 				write(c, text)
 				_ = c.Close()
 			})
-			a, err := p.Send(t.Context(), request("1"))
+			resp, err := p.Send(t.Context(), request("1"))
 			if err == nil {
-				_, err = a.Body(8)
-				a.Close()
+				_, err = resp.Body(8)
+				resp.Close()
 			}
 			assert.Assert(t, errors.Is(err, ErrBroken), "%v", err)
 		})
 	}
 }
 
-// An answer to an earlier request, late on a kept connection, is passed over.
-func TestSurplusAnswerIsPassedOver(t *testing.T) {
-	p := upstream(t, func(c net.Conn, id string, turn int) {
+// A late response to an earlier request on a reused connection is skipped.
+func TestStaleResponseIsSkipped(t *testing.T) {
+	p := scriptedUpstream(t, func(c net.Conn, id string, turn int) {
 		if turn == 1 {
-			write(c, whole("1", "old"))
+			write(c, completeResponse("1", "old"))
 		}
-		write(c, whole(id, "mine"))
+		write(c, completeResponse(id, "mine"))
 	})
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Send(t.Context(), request(id))
+		resp, err := p.Send(t.Context(), request(id))
 		assert.NilError(t, err)
-		body, err := a.Body(100)
+		body, err := resp.Body(100)
 		assert.NilError(t, err)
 		assert.Equal(t, string(body), "mine")
-		a.Close()
+		resp.Close()
 	}
 }
 
-// Bytes after a whole answer end the connection before another request uses it.
-func TestStrayBytesEndConnection(t *testing.T) {
-	p := upstream(t, func(c net.Conn, id string, turn int) {
+// Bytes after a complete response close the connection before another request uses it.
+func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
+	p := scriptedUpstream(t, func(c net.Conn, id string, turn int) {
 		if turn > 0 {
-			t.Error("a connection with stray bytes was used again")
+			t.Error("a connection with stray bytes was reused")
 		}
-		write(c, whole(id, "a")+"stray")
+		write(c, completeResponse(id, "a")+"stray")
 	})
 	for _, id := range []string{"1", "2"} {
-		a, err := p.Send(t.Context(), request(id))
+		resp, err := p.Send(t.Context(), request(id))
 		assert.NilError(t, err)
-		_, err = a.Body(100)
+		_, err = resp.Body(100)
 		assert.NilError(t, err)
-		a.Close()
+		resp.Close()
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 // A connection that the upstream has closed is not used for another request.
-func TestClosedConnectionIsNotUsed(t *testing.T) {
-	p := upstream(t, func(c net.Conn, id string, _ int) {
-		write(c, whole(id, "a"))
+func TestClosedConnectionIsNotReused(t *testing.T) {
+	p := scriptedUpstream(t, func(c net.Conn, id string, _ int) {
+		write(c, completeResponse(id, "a"))
 		_ = c.Close()
 	})
 	for range 5 {
-		a, err := p.Send(t.Context(), request("1"))
+		resp, err := p.Send(t.Context(), request("1"))
 		assert.NilError(t, err)
-		_, err = a.Body(100)
+		_, err = resp.Body(100)
 		assert.NilError(t, err)
-		a.Close()
+		resp.Close()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestRefusedConnectionIsErrNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
@@ -165,41 +165,41 @@
 	assert.Assert(t, errors.Is(err, ErrNotSent), "%v", err)
 }
 
-func TestCancelEndsWait(t *testing.T) {
-	p := upstream(t, func(net.Conn, string, int) { time.Sleep(time.Second) })
+func TestCancelInterruptsSend(t *testing.T) {
+	p := scriptedUpstream(t, func(net.Conn, string, int) { time.Sleep(time.Second) })
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	_, err := p.Send(ctx, request("1"))
 	assert.Assert(t, errors.Is(err, ErrBroken), "%v", err)
-	assert.Assert(t, time.Since(began) < 500*time.Millisecond)
+	assert.Assert(t, time.Since(start) < 500*time.Millisecond)
 }
 
-// Only whole events come out; a stream that ends within one is broken.
-func TestEvents(t *testing.T) {
+// Only complete events are returned; a stream that ends inside an event is broken.
+func TestOnlyCompleteEventsAreReturned(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\n"
 	for name, tc := range map[string]struct {
 		body   string
 		events int
 		want   error
 	}{
-		"two":          {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 2, io.EOF},
-		"line ends":    {"id: 1\r\ndata: a\r\n\r\n", 1, io.EOF},
-		"cut in event": {"id: 1\ndata: a\n\nid: 2\nda", 1, ErrBroken},
-		"cut in blank": {"id: 1\ndata: a\n", 0, ErrBroken},
-		"long line":    {"id: 1\ndata: " + strings.Repeat("x", 20000) + "\n\n", 1, io.EOF},
+		"two":           {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", 2, io.EOF},
+		"CRLF":          {"id: 1\r\ndata: a\r\n\r\n", 1, io.EOF},
+		"cut in event":  {"id: 1\ndata: a\n\nid: 2\nda", 1, ErrBroken},
+		"no blank line": {"id: 1\ndata: a\n", 0, ErrBroken},
+		"long line":     {"id: 1\ndata: " + strings.Repeat("x", 20000) + "\n\n", 1, io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := upstream(t, func(c net.Conn, _ string, _ int) {
+			p := scriptedUpstream(t, func(c net.Conn, _ string, _ int) {
 				write(c, head+tc.body)
 				_ = c.Close()
 			})
-			a, err := p.Send(t.Context(), request("1"))
+			resp, err := p.Send(t.Context(), request("1"))
 			assert.NilError(t, err)
-			defer a.Close()
+			defer resp.Close()
 			events := 0
 			for {
-				event, err := a.Event()
+				event, err := resp.Event()
 				if err != nil {
 					assert.Assert(t, errors.Is(err, tc.want), "%v", err)
 					break
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestEarlyAnswerEndsConnection(t *testing.T) {
+func TestConnectionWithUnreadRequestIsNotReused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -226,7 +226,7 @@
 			accepted <- n
 			go func() {
 				_, _ = io.ReadFull(c, make([]byte, 10))
-				write(c, whole("1", "no"))
+				write(c, completeResponse("1", "no"))
 				time.Sleep(time.Second) // keeps the connection open without reading
 			}()
 		}
@@ -235,39 +235,39 @@
 	r := request("1")
 	r.Body = make([]byte, 8<<20)
 	for range 2 {
-		a, err := p.Send(t.Context(), r)
+		resp, err := p.Send(t.Context(), r)
 		assert.NilError(t, err)
-		_, err = a.Body(10)
+		_, err = resp.Body(10)
 		assert.NilError(t, err)
-		a.Close()
+		resp.Close()
 	}
 	assert.Equal(t, len(accepted), 2)
 }
 
-func TestIdleTime(t *testing.T) {
-	assert.Equal(t, idleTime(http.Header{"Keep-Alive": {"timeout=5, max=10"}}), 5*time.Second)
-	assert.Equal(t, idleTime(http.Header{"Keep-Alive": {"max=10"}}), time.Duration(0))
-	assert.Equal(t, idleTime(http.Header{}), time.Duration(0))
+func TestKeepAliveTimeout(t *testing.T) {
+	assert.Equal(t, keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=5, max=10"}}), 5*time.Second)
+	assert.Equal(t, keepAliveTimeout(http.Header{"Keep-Alive": {"max=10"}}), time.Duration(0))
+	assert.Equal(t, keepAliveTimeout(http.Header{}), time.Duration(0))
 }
 
-func TestWithheldRequestDoesNotLeave(t *testing.T) {
+func TestDisallowedRequestIsNotSent(t *testing.T) {
 	var mu sync.Mutex
-	arrived := 0
-	p := upstream(t, func(c net.Conn, id string, _ int) {
+	received := 0
+	p := scriptedUpstream(t, func(c net.Conn, id string, _ int) {
 		mu.Lock()
-		arrived++
+		received++
 		mu.Unlock()
-		write(c, whole(id, "one"))
+		write(c, completeResponse(id, "one"))
 	})
 	r := request("1")
 	r.MayLeave = func() bool { return false }
 	_, err := p.Send(t.Context(), r)
 	assert.Assert(t, errors.Is(err, ErrNotSent), "%v", err)
 	r.MayLeave = func() bool { return true }
-	a, err := p.Send(t.Context(), r)
+	resp, err := p.Send(t.Context(), r)
 	assert.NilError(t, err)
-	a.Close()
+	resp.Close()
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Equal(t, arrived, 1)
+	assert.Equal(t, received, 1)
 }
--- a/forward/pool.go
+++ b/forward/pool.go
@@ -1,7 +1,8 @@
-// Package forward carries requests to upstreams over kept connections and tells what
-// is known of each: not sent, broken, or answered and read to its end. It owns the
-// connections to upstreams (a Pool each) and relies on nothing of the system; the
-// gateway uses it. A Pool is safe for concurrent use, an Answer is not.
+// Package forward sends requests to upstreams over persistent HTTP connections. It distinguishes
+// requests that were not sent, requests without a complete response, and complete responses. It
+// owns the connections to upstreams, with one Pool for each upstream, and depends on no other
+// package of the system. The gateway uses it. A Pool is safe for concurrent use, a Response is
+// not.
 package forward
 
 import (
@@ -17,30 +18,31 @@
 )
 
 const (
-	// DialTimeout bounds a new connection. It is far above a round trip and below the
-	// time after which a lost opening packet is sent again (1 s).
+	// DialTimeout bounds the time to open a connection. It is far above a round trip and below
+	// the time after which TCP retransmits a lost SYN packet (1 s).
 	DialTimeout = 350 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes the peer does not confirm.
+	// unackedTimeout is the time after which a connection with unacknowledged bytes is closed.
 	unackedTimeout = 2 * time.Second
-	// keptIdle bounds how long a connection is idle when the upstream names no time; one
-	// that was closed meanwhile is seen before its next use.
-	keptIdle = 60 * time.Second
-	// idleMargin ends an idle connection before the upstream does: more than a round trip.
+	// defaultIdleTimeout bounds how long a connection stays idle if the upstream names no
+	// timeout. A connection that the upstream closed earlier is detected before its next use.
+	defaultIdleTimeout = 60 * time.Second
+	// idleMargin is how long before the upstream's own timeout an idle connection expires. It is
+	// longer than a round trip.
 	idleMargin = 300 * time.Millisecond
-	// readBufferBytes is the read buffer of a connection; events are some 200 bytes.
+	// readBufferBytes is the size of a connection's read buffer. An event has about 200 bytes.
 	readBufferBytes = 4 << 10
 )
 
-// The errors of a send that had no effect.
+// The errors of a request that had no effect.
 const (
-	// ErrNothingListens is an ErrNotSent since nothing listens at the address.
-	ErrNothingListens = errors.ConstError("forward: nothing listens")
-	// ErrNotSent means that no byte of the request left.
+	// ErrConnectionRefused is an ErrNotSent whose cause is that no process listens at the address.
+	ErrNothingListens = errors.ConstError("forward: connection refused")
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.ConstError("forward: not sent")
 )
 
-// ErrBroken means that the request was sent and has no complete answer.
-const ErrBroken = errors.ConstError("forward: broken")
+// ErrBroken means that the request was sent, at least in part, and has no complete response.
+const ErrBroken = errors.ConstError("forward: no complete response")
 
 // conn is one connection to an upstream.
 type conn struct {
@@ -49,7 +51,7 @@
 	reader  *bufio.Reader
 }
 
-// Pool keeps connections to one upstream.
+// Pool holds the connections to one upstream.
 type Pool struct {
 	address string
 
@@ -63,7 +65,7 @@
 	return &Pool{address: address}
 }
 
-// Close closes what is idle; connections in use are closed after their answer.
+// Close closes the idle connections. Connections in use are closed after their response.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,14 +76,14 @@
 	p.idle = nil
 }
 
-// get returns the connection that was used last and is still good, or a new one.
+// get returns the most recently used connection that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context) (*conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
 			return p.dial(ctx)
 		}
-		if time.Now().Before(c.expires) && c.quiet() {
+		if time.Now().Before(c.expires) && c.usable() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -99,10 +101,10 @@
 	return c
 }
 
-// put keeps a connection whose last answer was read to its end.
+// put returns a connection to the pool after its last response was read completely.
 func (p *Pool) put(c *conn, idle time.Duration) {
 	if idle <= 0 {
-		idle = keptIdle
+		idle = defaultIdleTimeout
 	}
 	c.expires = time.Now().Add(idle - idleMargin)
 	p.mu.Lock()
@@ -138,9 +140,9 @@
 	return set
 }
 
-// quiet reports whether an idle connection is open and has nothing to read:
-// bytes that nobody asked for belong to no request.
-func (c *conn) quiet() bool {
+// usable reports whether an idle connection is open and has no bytes to read. Unexpected bytes
+// belong to no request, so a connection with such bytes is not used again.
+func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -152,11 +154,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, peekErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = peekErr == unix.EAGAIN
+		usable = peekErr == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -13,17 +13,17 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Engine is a model engine that speaks the OpenAI API with the widely used
-// endpoints to load and unload LoRA adapters.
+// Engine is a client for a model engine with the OpenAI API and the widely used endpoints to load
+// and unload LoRA adapters.
 type Engine struct {
-	base     string
+	baseURL  string
 	client   *http.Client
 	observer sandbarrow.SendObserver
 }
 
-// NewEngine returns the engine at a base URL; o is told of the answers to runs.
-func NewEngine(base string, maxRunning int, o sandbarrow.SendObserver) *Engine {
-	return &Engine{base: base, client: newClient(maxRunning + 8), observer: o}
+// NewEngine returns a client for the engine at a base URL. It reports the responses to runs to o.
+func NewEngine(baseURL string, maxRunning int, o sandbarrow.SendObserver) *Engine {
+	return &Engine{baseURL: baseURL, client: newClient(maxRunning + 8), observer: o}
 }
 
 // Load orders the engine to load an adapter version.
@@ -31,13 +31,13 @@
 	return e.order(ctx, "/v1/load_lora_adapter", o)
 }
 
-// Run runs a job and gives its whole answer to the sink.
+// Run runs a job and writes its complete response to the sink.
 func (e *Engine) Run(ctx context.Context, j sandbarrow.Job, s sandbarrow.Sink) error {
 	body, err := rewriteBody(j)
 	if err != nil {
 		return err
 	}
-	req, err := newRequest(ctx, http.MethodPost, e.base+j.Path, bytes.NewReader(body), len(body))
+	req, err := newRequest(ctx, http.MethodPost, e.baseURL+j.Path, bytes.NewReader(body), len(body))
 	if err != nil {
 		return err
 	}
@@ -56,17 +56,17 @@
 	case resp.StatusCode >= http.StatusInternalServerError:
 		return errors.Annotatef(sandbarrow.ErrUpstreamUnknown, "status %d: %s", resp.StatusCode, readError(resp))
 	case resp.StatusCode != http.StatusOK:
-		return relayWhole(resp, s)
+		return relayResponse(resp, s)
 	case j.Stream:
 		return e.runStream(ctx, j, resp, s)
 	}
-	return e.runWhole(j, resp, s)
+	return e.runUnary(j, resp, s)
 }
 
-// State reads the loaded adapters and the start mark.
+// State reads the loaded adapters and the ID of the engine's last start.
 func (e *Engine) State(ctx context.Context) (sandbarrow.UpstreamState, error) {
 	state := sandbarrow.UpstreamState{Loaded: map[sandbarrow.ModelRef]int{}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.base+"/v1/models", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.baseURL+"/v1/models", nil)
 	if err != nil {
 		return state, errors.Annotate(sandbarrow.ErrUpstreamRefused, err.Error())
 	}
@@ -87,7 +87,7 @@
 	}
 	state.Start = list.Start
 	for _, m := range list.Data {
-		// The base model is listed by its bare name; it is no adapter.
+		// The base model is listed too, by its name without a version. It is not an adapter.
 		if ref, err := sandbarrow.ParseModelRef(m.ID); err == nil {
 			state.Loaded[ref] = m.Running
 		}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	req, err := newRequest(ctx, http.MethodPost, e.base+path, bytes.NewReader(body), len(body))
+	req, err := newRequest(ctx, http.MethodPost, e.baseURL+path, bytes.NewReader(body), len(body))
 	if err != nil {
 		return err
 	}
@@ -132,35 +132,35 @@
 	return errors.Annotatef(sandbarrow.ErrUpstreamUnknown, "order %s: status %d: %s", o.Model, resp.StatusCode, readError(resp))
 }
 
-func (e *Engine) runWhole(j sandbarrow.Job, resp *http.Response, s sandbarrow.Sink) error {
-	body, err := readWhole(resp)
+func (e *Engine) runUnary(j sandbarrow.Job, resp *http.Response, s sandbarrow.Sink) error {
+	body, err := readBody(resp)
 	if err != nil {
 		return err
 	}
 	if err := checkModel(body, j.Model); err != nil {
 		return err
 	}
-	return pass(resp, body, s)
+	return writeResponse(resp, body, s)
 }
 
-// relayWhole passes on an answer whose content is not ours to check.
-func relayWhole(resp *http.Response, s sandbarrow.Sink) error {
-	body, err := readWhole(resp)
+// relayResponse writes a response to the sink without checking its content.
+func relayResponse(resp *http.Response, s sandbarrow.Sink) error {
+	body, err := readBody(resp)
 	if err != nil {
 		return err
 	}
-	return pass(resp, body, s)
+	return writeResponse(resp, body, s)
 }
 
-func readWhole(resp *http.Response) ([]byte, error) {
+func readBody(resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, errors.Annotatef(sandbarrow.ErrUpstreamBroken, "cut: %v", err)
+		return nil, errors.Annotatef(sandbarrow.ErrUpstreamBroken, "response truncated: %v", err)
 	}
 	return body, nil
 }
 
-func pass(resp *http.Response, body []byte, s sandbarrow.Sink) error {
+func writeResponse(resp *http.Response, body []byte, s sandbarrow.Sink) error {
 	if err := s.Begin(sandbarrow.ResponseHeader{ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode}); err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	return err
 }
 
-// rewriteBody names the pinned model and the priority in the body.
+// rewriteBody sets the model version and the priority in the body.
 func rewriteBody(j sandbarrow.Job) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(j.Body, &fields); err != nil {
@@ -194,7 +194,7 @@
 		return errors.Annotate(sandbarrow.ErrUpstreamBroken, err.Error())
 	}
 	if head.Model != want.String() {
-		return errors.Annotatef(sandbarrow.ErrUpstreamBroken, "answer of model %q, want %s", head.Model, want)
+		return errors.Annotatef(sandbarrow.ErrUpstreamBroken, "response from model %q, want %s", head.Model, want)
 	}
 	return nil
 }
--- a/upstream/enginestream.go
+++ b/upstream/enginestream.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxResumes is how often a cut stream is resumed.
+	// maxResumes bounds how often an interrupted stream is resumed.
 	maxResumes = 2
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes bounds the size of one event of a stream.
 	maxEventBytes     = 1 << 20
 	streamBufferBytes = 32 << 10
 )
@@ -27,21 +27,21 @@
 	idPrefix   = []byte("id: ")
 )
 
-// eventStream relays server-sent events and knows how far it has come.
+// eventStream relays server-sent events and records the ID of the last one, to resume after it.
 type eventStream struct {
-	lastID  string
-	model   sandbarrow.ModelRef
-	needle  []byte
-	pending bytes.Buffer
-	sink    sandbarrow.Sink
+	lastID     string
+	model      sandbarrow.ModelRef
+	modelField []byte
+	pending    bytes.Buffer
+	sink       sandbarrow.Sink
 }
 
-// runStream relays a stream to its end; a cut stream is resumed.
+// runStream relays a stream to its end. An interrupted stream is resumed.
 func (e *Engine) runStream(ctx context.Context, j sandbarrow.Job, resp *http.Response, s sandbarrow.Sink) error {
 	if err := s.Begin(sandbarrow.ResponseHeader{ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode}); err != nil {
 		return err
 	}
-	es := &eventStream{model: j.Model, needle: []byte(`"model":` + strconv.Quote(j.Model.String())), sink: s, lastID: "0"}
+	es := &eventStream{model: j.Model, modelField: []byte(`"model":` + strconv.Quote(j.Model.String())), sink: s, lastID: "0"}
 	err := es.relay(resp.Body)
 	for range maxResumes {
 		if !errors.Is(err, io.ErrUnexpectedEOF) || ctx.Err() != nil {
@@ -50,13 +50,13 @@
 		err = e.resume(ctx, j, es)
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return errors.Annotate(sandbarrow.ErrUpstreamBroken, "stream cut before its end")
+		return errors.Annotate(sandbarrow.ErrUpstreamBroken, "stream interrupted before its end")
 	}
 	return err
 }
 
 func (e *Engine) resume(ctx context.Context, j sandbarrow.Job, es *eventStream) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.base+"/v1/streams/"+string(j.ID), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, e.baseURL+"/v1/streams/"+string(j.ID), nil)
 	if err != nil {
 		return errors.Annotate(sandbarrow.ErrUpstreamBroken, err.Error())
 	}
@@ -68,13 +68,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Annotatef(sandbarrow.ErrUpstreamBroken, "stream cut and not resumed: status %d", resp.StatusCode)
+		return errors.Annotatef(sandbarrow.ErrUpstreamBroken, "interrupted stream not resumed: status %d", resp.StatusCode)
 	}
 	return es.relay(resp.Body)
 }
 
-// relay passes on whole events. It returns io.ErrUnexpectedEOF if the stream
-// ends before its last event.
+// relay writes complete events to the sink. It returns io.ErrUnexpectedEOF if the stream ends
+// before its last event.
 func (es *eventStream) relay(body io.Reader) error {
 	r := bufio.NewReaderSize(body, streamBufferBytes)
 	var event []byte
@@ -90,7 +90,7 @@
 		if len(bytes.TrimRight(line, "\r\n")) > 0 {
 			continue
 		}
-		done, err := es.take(event)
+		done, err := es.buffer(event)
 		if err != nil {
 			return err
 		}
@@ -103,8 +103,8 @@
 	}
 }
 
-// take checks one event and keeps it for the next flush.
-func (es *eventStream) take(event []byte) (done bool, err error) {
+// buffer checks one event and buffers it until the next flush.
+func (es *eventStream) buffer(event []byte) (done bool, err error) {
 	var data []byte
 	id := es.lastID
 	for line := range bytes.Lines(event) {
@@ -116,7 +116,7 @@
 		}
 	}
 	done = bytes.Equal(data, doneData)
-	if len(data) > 0 && !done && !bytes.Contains(data, es.needle) {
+	if len(data) > 0 && !done && !bytes.Contains(data, es.modelField) {
 		if err := checkModel(data, es.model); err != nil {
 			return false, err
 		}
--- a/upstream/httpcall.go
+++ b/upstream/httpcall.go
@@ -1,5 +1,4 @@
-// Package upstream holds the clients of the back ends: model engines and
-// plain services.
+// Package upstream implements clients for upstreams: model engines and plain services.
 package upstream
 
 import (
@@ -14,14 +13,14 @@
 	"sandbarrow.example/sandbarrow/internal/httpcall"
 )
 
-// requestIDHeader carries the request's id to the upstream.
+// requestIDHeader sends the request's ID to the upstream.
 const requestIDHeader = "X-Request-Id"
 
-// maxErrorBytes bounds what is read of an error answer.
+// maxErrorBytes bounds the bytes read from an error response.
 const maxErrorBytes = 4 << 10
 
-// newClient returns a client that ends calls with their context. It uses
-// net/http, since a cancelled run must reach the engine as a closed connection.
+// newClient returns a client that closes a call's connection when its context is canceled. This
+// is how the engine detects a canceled run, and the reason for using net/http.
 func newClient(maxConnections int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DisableCompression:  true,
@@ -30,8 +29,8 @@
 	}}
 }
 
-// singleUse hides a body's type, so that net/http never repeats the call by
-// itself after a broken connection.
+// singleUse hides a body's type. net/http can't rewind such a body and therefore never retries the
+// call by itself after a broken connection.
 type singleUse struct{ io.Reader }
 
 // Close does nothing.
@@ -44,12 +43,12 @@
 	}
 	req.ContentLength = int64(length)
 	if length == 0 {
-		req.ContentLength = -1 // an unknown length keeps the body single-use
+		req.ContentLength = -1 // with an unknown length, the body stays single-use
 	}
 	return req, nil
 }
 
-// transportError tells a call that was never sent from one that may have run.
+// transportError distinguishes a call that was never sent from one that may have run.
 func transportError(err error) error {
 	if httpcall.NotSent(err) {
 		return errors.Annotate(sandbarrow.ErrUpstreamRefused, err.Error())
@@ -57,7 +56,7 @@
 	return errors.Annotate(sandbarrow.ErrUpstreamUnknown, err.Error())
 }
 
-// do makes a call and tells the observer of its answer.
+// do makes a call and reports the response to the observer.
 func do(client *http.Client, req *http.Request, o sandbarrow.SendObserver) (*http.Response, error) {
 	sent := boottime.Now()
 	resp, err := client.Do(req)
@@ -69,6 +68,6 @@
 }
 
 func readError(resp *http.Response) string {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // a cut text still helps
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // a truncated text is still useful
 	return string(text)
 }
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -8,25 +8,26 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Service is a plain service. It has no adapters.
+// Service is a client for a plain service. It has no adapters.
 type Service struct {
-	base     string
+	baseURL  string
 	client   *http.Client
 	observer sandbarrow.SendObserver
 }
 
-// NewService returns the service at a base URL; o is told of its answers. It opens a connection for each
-// call, since a call lost on a reused one can't be told from one that ran.
-func NewService(base string, o sandbarrow.SendObserver) *Service {
-	return &Service{base: base, observer: o, client: &http.Client{Transport: &http.Transport{
+// NewService returns a client for the service at a base URL. It reports the responses to o. It
+// opens a connection for each call: if a call on a reused connection is lost, it is unknown
+// whether it ran.
+func NewService(baseURL string, o sandbarrow.SendObserver) *Service {
+	return &Service{baseURL: baseURL, observer: o, client: &http.Client{Transport: &http.Transport{
 		DisableCompression: true,
 		DisableKeepAlives:  true,
 	}}}
 }
 
-// Run makes one call. Each status is an answer of the service.
+// Run makes one call. Every HTTP status counts as a response of the service.
 func (s *Service) Run(ctx context.Context, j sandbarrow.Job, sink sandbarrow.Sink) error {
-	req, err := newRequest(ctx, j.Method, s.base+j.Path, bytes.NewReader(j.Body), len(j.Body))
+	req, err := newRequest(ctx, j.Method, s.baseURL+j.Path, bytes.NewReader(j.Body), len(j.Body))
 	if err != nil {
 		return err
 	}
@@ -39,7 +40,7 @@
 		return transportError(err)
 	}
 	defer resp.Body.Close()
-	return relayWhole(resp, sink)
+	return relayResponse(resp, sink)
 }
 
 // State reports that nothing is loaded.
