--- a/entry/completion.go
+++ b/entry/completion.go
@@ -72,7 +72,7 @@
 		},
 		stream: newResponseStream(),
 	}
-	if resolved.Once {
+	if resolved.AtMostOnce {
 		j.attempt.OnceID = r.onceID()
 	}
 	r.ctx.Response.Header.Set(headerModel, resolved.Model.String())
@@ -122,7 +122,7 @@
 		route:    sandbarrow.RouteRequest{Service: s.ID, Hash: xxhash.Sum64String(string(r.onceID()))},
 		stream:   newResponseStream(),
 	}
-	if s.Once || r.atMostOnce {
+	if s.AtMostOnce || r.atMostOnce {
 		j.attempt.OnceID = r.onceID()
 	}
 	e.respond(r, j)
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -102,7 +102,7 @@
 	defer cancel()
 	err = rpc.Call(callCtx, wire.MethodHello, wire.Hello{
 		Box:           p.entry.settings.Box.ID,
-		Config:        p.entry.follower.Mark(),
+		Config:        p.entry.follower.Watermark(),
 		FailureDomain: p.entry.settings.Box.FailureDomain,
 		Lane:          additional,
 		Protocol:      wire.Protocol,
@@ -175,7 +175,7 @@
 }
 
 func (p *peer) sendWatermark() {
-	_ = p.connections[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Mark()) // useless if disconnected
+	_ = p.connections[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Watermark()) // useless if disconnected
 }
 
 func (p *peer) handleMessage(ctx context.Context, r *jsonrpc2.Request) (any, error) {
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -119,7 +119,7 @@
 // Hello opens a connection.
 type Hello struct {
 	Box           sandbarrow.BoxID         `json:"box"`
-	Config        config.Mark              `json:"config"`
+	Config        config.Watermark              `json:"config"`
 	FailureDomain sandbarrow.FailureDomain `json:"failure_domain"`
 	// Lane says that this is a further connection of the same entry, which
 	// carries attempts alone.
@@ -161,7 +161,7 @@
 
 // Status is what an agent tells of itself.
 type Status struct {
-	Config   config.Mark `json:"config"`
+	Config   config.Watermark `json:"config"`
 	Draining bool        `json:"draining,omitempty"`
 	// LoadMS is the expected time until a new adapter would be loaded.
 	LoadMS int64 `json:"load_ms,omitempty"`
--- a/wire/peerconfig.go
+++ b/wire/peerconfig.go
@@ -12,7 +12,7 @@
 
 // PullConfig brings a follower to the peer's configuration if, by the peer's mark, that may
 // be newer. It is how a box that starts in an outage of the store catches up.
-func PullConfig(ctx context.Context, rpc *jsonrpc2.Conn, f *config.Follower, peer config.Mark) error {
+func PullConfig(ctx context.Context, rpc *jsonrpc2.Conn, f *config.Follower, peer config.Watermark) error {
 	if !f.MayLack(peer) {
 		return nil
 	}
