--- a/agent/admissions.go
+++ b/agent/admissions.go
@@ -12,34 +12,35 @@
 	"sandbarrow.example/sandbarrow/throttle"
 )
 
-// admissions decides whether a request may be sent to the upstream, by what that announces in its
-// answers: its limit, for how long it wants no requests, and that it drains. The agent is the only
-// way to it, so that it needs to ask nobody. It is safe for concurrent use.
+// admissions decides whether a request may be sent to the upstream. It applies the notices in the
+// upstream's responses: its limit, a backoff and a drain. All requests to the upstream pass through
+// this agent, so it needs no coordination with other processes. It is safe for concurrent use.
 type admissions struct {
-	// drains is called when the upstream has announced that it drains.
-	drains   func()
-	instance sandbarrow.InstanceID
-	logger   *slog.Logger
-	reader   sandbarrow.NoticeReader
+	// drainStarted is called when the upstream sends a drain notice.
+	drainStarted func()
+	instance     sandbarrow.InstanceID
+	logger       *slog.Logger
+	reader       sandbarrow.NoticeReader
 
-	mu      sync.Mutex
-	keeper  throttle.Coordinator
-	notices availability.Notices
+	mu          sync.Mutex
+	coordinator throttle.Coordinator
+	notices     availability.Notices
 }
 
 func newAdmissions(id sandbarrow.UpstreamID, reader sandbarrow.NoticeReader, logger *slog.Logger) *admissions {
-	return &admissions{drains: func() {}, instance: sandbarrow.InstanceID(id), logger: logger, reader: reader}
+	return &admissions{drainStarted: func() {}, instance: sandbarrow.InstanceID(id), logger: logger, reader: reader}
 }
 
-// admission says whether a request may be sent.
+// admission is the decision about one send.
 type admission struct {
-	// counted says that the send counts against a limit.
+	// counted is set when the send counts against a limit.
 	counted bool
-	// refusal is why it may not be sent; nil where it may.
+	// refusal is the reason for a rejected send; nil if the send is allowed.
 	refusal *sandbarrow.Refusal
 }
 
-// admit asks for one send, for a request whose send was counted before where counted is true.
+// admit decides about one send. counted is set when an earlier call already counted this send
+// against the limit.
 func (s *admissions) admit(now time.Time, counted bool) admission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,85 +53,86 @@
 	case counted:
 		return admission{counted: true}
 	}
-	record, known := s.keeper.Record(now, s.instance)
+	record, known := s.coordinator.Record(now, s.instance)
 	if !known || record.Ended {
 		return admission{}
 	}
-	grant := s.keeper.Acquire(now, record, 0)
+	grant := s.coordinator.Acquire(now, record, 0)
 	if !grant.Granted {
 		return admission{refusal: sandbarrow.NotRun(sandbarrow.ReasonUpstreamLimit, "the upstream takes no more requests now", grant.Wait)}
 	}
 	return admission{counted: true}
 }
 
-// drainingRefusal is the refusal of a request to an upstream that drains.
+// drainingRefusal returns the refusal of a request to a draining upstream.
 func drainingRefusal() *sandbarrow.Refusal {
-	return sandbarrow.NotRun(sandbarrow.ReasonDraining, "the upstream is leaving", retryPause)
+	return sandbarrow.NotRun(sandbarrow.ReasonDraining, "the upstream is leaving", defaultRetryAfter)
 }
 
-// unused gives a send back that was granted and did not come about.
-func (s *admissions) unused() { s.spend(-1) }
+// refundSend returns a send to the limit that was counted but never made.
+func (s *admissions) refundSend() { s.adjustSends(-1) }
 
-// Resumed counts a further request for a job that was admitted. It is not refused, since the
-// upstream is at work on it; the next one waits for longer.
-func (s *admissions) Resumed() { s.spend(1) }
+// Resumed counts a further request for a job that was already admitted. It is never refused because
+// the upstream is already working on the job. Later sends wait longer instead.
+func (s *admissions) Resumed() { s.adjustSends(1) }
 
-func (s *admissions) spend(sends int) {
+func (s *admissions) adjustSends(sends int) {
 	now := boottime.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if record, limited := s.keeper.Record(now, s.instance); limited {
-		s.keeper.CountSends(now, record, sends)
+	if record, limited := s.coordinator.Record(now, s.instance); limited {
+		s.coordinator.CountSends(now, record, sends)
 	}
 }
 
-// ResponseReceived reads what an answer announces. A malformed limit says nothing.
+// ResponseReceived applies the notice in a response. A malformed limit is ignored.
 func (s *admissions) ResponseReceived(sent time.Time, status int, h http.Header) {
-	announced, err := s.reader.Read(status, h)
+	notice, err := s.reader.Read(status, h)
 	if err != nil {
 		s.logger.Warn("announcement of the upstream not read", "error", err.Error())
 	}
 	now := boottime.Now()
 	s.mu.Lock()
-	change := s.notices.Apply(now, s.instance, status, announced)
-	var said throttle.Limit
+	change := s.notices.Apply(now, s.instance, status, notice)
+	var limit throttle.Limit
 	limitChanged := false
 	if err == nil {
-		var says bool
-		if said, says = throttle.LimitFromResponse(now, sent, status, announced.Limit); says {
-			limitChanged = s.keeper.Apply(now, s.instance, said)
+		var named bool
+		if limit, named = throttle.LimitFromResponse(now, sent, status, notice.Limit); named {
+			limitChanged = s.coordinator.Apply(now, s.instance, limit)
 		}
 	}
 	s.mu.Unlock()
 	if limitChanged {
-		s.logger.Info("limit of the upstream", "rate", float64(said.Rate), "ended", said.Ended)
+		s.logger.Info("limit of the upstream", "rate", float64(limit.Rate), "ended", limit.Ended)
 	}
 	if change.Backoff {
-		s.logger.Info("upstream wants no requests", "backoff_ms", announced.Backoff.Milliseconds())
+		s.logger.Info("upstream wants no requests", "backoff_ms", notice.Backoff.Milliseconds())
 	}
 	if change.Draining {
 		s.logger.Info("upstream announces that it drains")
-		s.drains()
+		s.drainStarted()
 	}
 }
 
-// draining reports whether the upstream has announced that it drains.
+// draining reports whether the upstream has sent a drain notice.
 func (s *admissions) draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.notices.Check(boottime.Now(), s.instance).Draining
 }
 
-// wantsNone reports whether the upstream accepts no requests and orders now.
-func (s *admissions) wantsNone(now time.Time) bool {
+// rejectsWork reports whether the upstream is draining or in backoff and accepts no requests or
+// orders now.
+func (s *admissions) rejectsWork(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	notice := s.notices.Check(now, s.instance)
 	return notice.Draining || notice.Backoff > 0
 }
 
-// restarted forgets what the last start of the upstream has announced of its end.
-func (s *admissions) restarted() {
+// clearNotices drops the backoff and drain notices of the upstream's previous start.
+func (s *admissions) clearNotices() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notices.Forget(s.instance)
--- a/agent/admissions_test.go
+++ b/agent/admissions_test.go
@@ -13,59 +13,59 @@
 	"sandbarrow.example/sandbarrow/platform"
 )
 
-// naming is the head of an answer that names a limit.
-func naming(limit string) http.Header {
+// limitHeader returns a response header that names a limit.
+func limitHeader(limit string) http.Header {
 	h := http.Header{}
 	platform.Announcements{}.Write(h, sandbarrow.RawNotice{Limit: limit})
 	return h
 }
 
-func TestAdmissionsUnderALimit(t *testing.T) {
+func TestAdmissionsApplyNamedLimit(t *testing.T) {
 	l := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
 	admit := func() bool { return l.admit(boottime.Now(), false).refusal == nil }
 	assert.Assert(t, admit(), "no limit is named")
 	before := boottime.Now()
 	time.Sleep(2 * time.Millisecond)
-	l.ResponseReceived(before, http.StatusOK, naming("0.5"))
+	l.ResponseReceived(before, http.StatusOK, limitHeader("0.5"))
 	refused := l.admit(boottime.Now(), false).refusal
 	assert.Assert(t, refused != nil && refused.RetryAfter > time.Second && refused.RetryAfter <= 2*time.Second, "%v", refused)
-	l.ResponseReceived(before, http.StatusOK, naming(""))
+	l.ResponseReceived(before, http.StatusOK, limitHeader(""))
 	assert.Assert(t, !admit(), "its request was sent before the limit was named")
-	l.ResponseReceived(boottime.Now(), http.StatusOK, naming("soon"))
-	l.ResponseReceived(boottime.Now(), http.StatusInternalServerError, naming(""))
-	assert.Assert(t, !admit(), "neither says anything")
-	l.unused()
-	assert.Assert(t, admit(), "one was given back")
+	l.ResponseReceived(boottime.Now(), http.StatusOK, limitHeader("soon"))
+	l.ResponseReceived(boottime.Now(), http.StatusInternalServerError, limitHeader(""))
+	assert.Assert(t, !admit(), "a malformed limit and an error response do not change the limit")
+	l.refundSend()
+	assert.Assert(t, admit(), "one send was refunded")
 	l.Resumed()
-	assert.Assert(t, l.admit(boottime.Now(), false).refusal.RetryAfter > refused.RetryAfter, "a resumed stream counts")
+	assert.Assert(t, l.admit(boottime.Now(), false).refusal.RetryAfter > refused.RetryAfter, "a resumed stream counts against the limit")
 	time.Sleep(2 * time.Millisecond)
-	l.ResponseReceived(boottime.Now(), http.StatusOK, naming(""))
-	assert.Assert(t, admit(), "the limit has ended")
+	l.ResponseReceived(boottime.Now(), http.StatusOK, limitHeader(""))
+	assert.Assert(t, admit(), "the limit was removed")
 }
 
-func TestAdmissionsByAnnouncements(t *testing.T) {
+func TestAdmissionsApplyNotices(t *testing.T) {
 	a := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
-	drains := 0
-	a.drains = func() { drains++ }
-	answer := func(status int, texts sandbarrow.RawNotice) {
+	drainStarted := 0
+	a.drainStarted = func() { drainStarted++ }
+	respond := func(status int, notice sandbarrow.RawNotice) {
 		h := http.Header{}
-		platform.Announcements{}.Write(h, texts)
+		platform.Announcements{}.Write(h, notice)
 		a.ResponseReceived(boottime.Now(), status, h)
 	}
-	answer(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "soon", Limit: "-1"})
-	assert.Assert(t, a.admit(boottime.Now(), false).refusal == nil, "malformed")
-	answer(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "2.5", Limit: "-1"})
+	respond(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "soon", Limit: "-1"})
+	assert.Assert(t, a.admit(boottime.Now(), false).refusal == nil, "a malformed backoff is ignored")
+	respond(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "2.5", Limit: "-1"})
 	now := boottime.Now()
 	for _, counted := range []bool{false, true} {
 		refusal := a.admit(now, counted).refusal
 		assert.Assert(t, refusal.Reason == sandbarrow.ReasonUpstreamBackoff && refusal.RetryAfter > 2*time.Second, "%v", refusal)
 	}
-	assert.Assert(t, a.wantsNone(now) && !a.draining())
-	assert.Assert(t, a.admit(now.Add(2500*time.Millisecond), false).refusal == nil, "it is over")
-	answer(http.StatusOK, sandbarrow.RawNotice{Draining: "1"})
-	answer(http.StatusOK, sandbarrow.RawNotice{Draining: "1"})
+	assert.Assert(t, a.rejectsWork(now) && !a.draining())
+	assert.Assert(t, a.admit(now.Add(2500*time.Millisecond), false).refusal == nil, "the backoff has expired")
+	respond(http.StatusOK, sandbarrow.RawNotice{Draining: "1"})
+	respond(http.StatusOK, sandbarrow.RawNotice{Draining: "1"})
 	assert.Equal(t, a.admit(boottime.Now(), true).refusal.Reason, sandbarrow.ReasonDraining)
-	assert.Equal(t, drains, 1)
-	a.restarted()
+	assert.Equal(t, drainStarted, 1)
+	a.clearNotices()
 	assert.Assert(t, a.admit(boottime.Now(), false).refusal == nil)
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent is the process beside an upstream, the only way to it. It owns
-// the upstream's adapter slots, its queue, its running requests and its orders.
+// Package agent implements the process that runs next to an upstream. All requests
+// to the upstream pass through it. It manages the upstream's adapter slots, queue,
+// running requests, and load and unload orders.
 package agent
 
 import (
@@ -30,19 +31,19 @@
 )
 
 const (
-	// agingStep is the waiting time that one step of priority is worth.
+	// agingStep is the waiting time that raises a request's priority by one step.
 	agingStep = 5 * time.Second
 	// maxQueued bounds the waiting requests of one agent.
 	maxQueued = 4096
-	// tick is the pause between looks at deadlines, holds and the load budget.
-	tick = 20 * time.Millisecond
+	// tickInterval is how often deadlines, batch waits, eviction protection and the load budget are checked.
+	tickInterval = 20 * time.Millisecond
 )
 
-// Agent is one agent. Its parts are told apart by their files: attempts,
-// connections, orders, the upstream's state and the stop.
+// Agent is the agent of one upstream. Its code is divided into files by task: attempts,
+// connections, orders, the upstream's state and shutdown.
 type Agent struct {
 	admissions  *admissions
-	answers     *answerCache
+	responses   *responseCache
 	budget      sandbarrow.LoadBudget
 	claimer     sandbarrow.Claimer
 	crashes     *crash.Log
@@ -50,32 +51,32 @@
 	follower    *config.Follower
 	incarnation sandbarrow.Incarnation
 	lease       *lease.Holder
-	list        sandbarrow.BoxList // nil if not set
+	boxList     sandbarrow.BoxList // nil if not set
 	listener    net.Listener
 	logger      *slog.Logger
 	metrics     *metrics
 	settings    *settings.Settings
 	upstream    sandbarrow.Upstream
-	waiting     chan struct{} // holds a token while requests may wait
+	hasWaiting  chan struct{} // holds an element while requests may be waiting
 
-	mu        sync.Mutex
-	attempts  map[attemptKey]*attempt
-	byTicket  map[*schedule.Ticket]*attempt
-	broken    []brokenRun // since the upstream's last known start
-	conns     map[*connection]struct{}
-	draining  bool
-	ended     lastEnd
-	ordered   time.Time // no order before this time
-	resident  int       // counts changes of the loaded adapters
-	runCtx    context.Context
-	scheduler *schedule.Scheduler
-	start     string // the upstream's start mark
-	tombs     map[attemptKey]time.Time
-	unready   bool
+	mu              sync.Mutex
+	attempts        map[attemptKey]*attempt
+	byTicket        map[*schedule.Ticket]*attempt
+	failedRuns      []failedRun // since the upstream's last known start
+	conns           map[*connection]struct{}
+	draining        bool
+	lastExit        exitRecord
+	nextOrderAt     time.Time // the load budget permits no order earlier
+	residentChanges int       // counts changes of the loaded adapters
+	runCtx          context.Context
+	scheduler       *schedule.Scheduler
+	upstreamStart   string // the start ID that the engine reports
+	tombstones      map[attemptKey]time.Time
+	unready         bool
 }
 
-// New returns an agent that listens from now on. It reads by reader what its upstream says of
-// itself in its answers.
+// New returns an agent whose listener is already open. It uses reader to parse the notices in its
+// upstream's responses.
 func New(s *settings.Settings, reader sandbarrow.NoticeReader, logger *slog.Logger, registry *prometheus.Registry) (*Agent, error) {
 	listener, err := net.Listen("tcp", s.Listen.RPC)
 	if err != nil {
@@ -86,7 +87,7 @@
 	w := s.Agent.WeightStore
 	a := &Agent{
 		admissions:  newAdmissions(u.ID, reader, logger),
-		answers:     newAnswerCache(),
+		responses:   newResponseCache(),
 		attempts:    map[attemptKey]*attempt{},
 		budget:      loadbudget.NewBackoff(w.LoadsPerSecond, w.ParallelLoads),
 		byTicket:    map[*schedule.Ticket]*attempt{},
@@ -96,7 +97,7 @@
 		follower:    config.NewFollower(st, logger),
 		incarnation: sandbarrow.Incarnation(uuid.NewString()),
 		lease:       lease.NewHolder(st, "leases/"+string(u.ID), time.Duration(s.Agent.LeaseTTL), logger),
-		list:        newBoxList(s),
+		boxList:     newBoxList(s),
 		listener:    listener,
 		logger:      logger,
 		scheduler: schedule.New(schedule.Options{
@@ -106,12 +107,12 @@
 			Order:      queueorder.Aged{Step: agingStep},
 			Slots:      u.Slots,
 		}),
-		settings: s,
-		tombs:    map[attemptKey]time.Time{},
-		waiting:  make(chan struct{}, 1),
+		settings:   s,
+		tombstones: map[attemptKey]time.Time{},
+		hasWaiting: make(chan struct{}, 1),
 	}
 	a.metrics = newMetrics(registry, a)
-	a.admissions.drains = a.upstreamDrains
+	a.admissions.drainStarted = a.onUpstreamDrain
 	a.upstream = upstream.NewService(u.URL, a.admissions)
 	if u.Kind == settings.KindEngine {
 		a.engine = upstream.NewEngine(u.URL, u.MaxRunning, a.admissions)
@@ -120,21 +121,21 @@
 	return a, nil
 }
 
-// Address is where the agent listens for entries.
+// Address returns the address on which the agent listens for entries.
 func (a *Agent) Address() string {
 	return a.listener.Addr().String()
 }
 
-// Ready reports whether new work is taken.
+// Ready reports whether the agent accepts new work.
 func (a *Agent) Ready() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.draining && !a.unready && !a.admissions.draining()
 }
 
-// Run serves until ctx ends, then finishes what runs.
+// Run serves until ctx ends, then waits for running requests to finish.
 func (a *Agent) Run(ctx context.Context) error {
-	// What is in progress lives past ctx, so that a planned stop cuts nothing.
+	// Work in progress continues after ctx ends, so a planned stop interrupts no requests.
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	a.mu.Lock()
@@ -171,7 +172,7 @@
 	return g.Wait()
 }
 
-// configLoop applies what each new configuration means for this upstream.
+// configLoop applies each new configuration to the scheduler.
 func (a *Agent) configLoop(ctx context.Context) error {
 	for {
 		changed := a.follower.Changed()
@@ -188,38 +189,39 @@
 	}
 }
 
-// tickLoop looks again at all that time alone can change, while requests wait.
+// tickLoop checks time-based conditions periodically while requests are waiting.
 func (a *Agent) tickLoop(ctx context.Context) error {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.waiting:
+		case <-a.hasWaiting:
 		}
-		for left := true; left; {
+		for remaining := true; remaining; {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-t.C:
-				left = a.pumpWaiting()
+				remaining = a.advanceWaiting()
 			}
 		}
 	}
 }
 
-// pumpWaiting pumps and reports whether requests still wait.
-func (a *Agent) pumpWaiting() bool {
+// advanceWaiting calls advance and reports whether requests are still waiting.
+func (a *Agent) advanceWaiting() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := boottime.Now()
-	a.pump(now)
+	a.advance(now)
 	return a.scheduler.Stats(now).Queued > 0
 }
 
-// pump starts what can start and orders what can be ordered. The caller holds mu.
-func (a *Agent) pump(now time.Time) {
+// advance drops requests that can't meet their deadline, starts those that can run, and begins
+// adapter loads. The caller holds mu.
+func (a *Agent) advance(now time.Time) {
 	for _, t := range a.scheduler.DropUnmeetable(now) {
 		a.endWaiting(t, sandbarrow.NotRun(sandbarrow.ReasonOverload, "the deadline can't be met any more", a.scheduler.Stats(boottime.Now()).LoadWait))
 	}
@@ -228,12 +230,12 @@
 		at.state = attemptStarting
 		go a.run(at)
 	}
-	if a.engine != nil && !a.draining && !a.admissions.wantsNone(now) {
-		a.pumpOrders(now)
+	if a.engine != nil && !a.draining && !a.admissions.rejectsWork(now) {
+		a.startLoads(now)
 	}
 	if len(a.byTicket) > 0 {
 		select {
-		case a.waiting <- struct{}{}:
+		case a.hasWaiting <- struct{}{}:
 		default:
 		}
 	}
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// claimTimeout bounds a claim; after it the request is given up as not run.
+	// claimTimeout bounds a claim. When it expires, the request is abandoned as not run.
 	claimTimeout = 2 * time.Second
-	// cancelGrace is how long an engine may still run what was cancelled.
+	// cancelGrace is how long an engine may still run a canceled request.
 	cancelGrace = 2 * time.Second
-	// retryPause is what callers are told after a failure that may pass soon.
-	retryPause = time.Second
-	// tombLife is how long a revoked attempt is remembered; no message is on its way for that long.
-	tombLife = 10 * time.Minute
-	// attemptSeparator stands between request and attempt in an upstream's request id.
+	// defaultRetryAfter is the retry delay reported to callers after a failure that may be brief.
+	defaultRetryAfter = time.Second
+	// tombstoneTTL is how long a revoked attempt is remembered. No message is in transit for that long.
+	tombstoneTTL = 10 * time.Minute
+	// attemptSeparator separates the request ID from the attempt number in the upstream's request ID.
 	attemptSeparator = "."
 )
 
@@ -45,25 +45,25 @@
 type attempt struct {
 	cancel context.CancelFunc
 	conn   *connection
-	// counted says that its send was taken from the upstream's limit, sent that it came about.
+	// counted is set when the send was counted against the upstream's limit, sent when it was made.
 	counted, sent bool
 	ctx           context.Context
 	done          chan struct{}
 	reply         func(wire.AttemptResult)
 	req           wire.AttemptRequest
-	// startedAt is when its run began.
+	// startedAt is when the upstream began to run the attempt.
 	startedAt time.Time
 	state     attemptState
 	ticket    *schedule.Ticket
-	// withdrawn says that it must not start any more.
-	withdrawn bool
+	// revoked is set when the attempt must not start any more.
+	revoked bool
 }
 
 func (at *attempt) key() attemptKey {
 	return attemptKey{id: at.req.ID, attempt: at.req.Attempt}
 }
 
-// receive queues an attempt or refuses it at once.
+// receive queues an attempt or refuses it immediately.
 func (a *Agent) receive(c *connection, req wire.AttemptRequest, reply func(wire.AttemptResult)) {
 	now := boottime.Now()
 	a.mu.Lock()
@@ -77,12 +77,12 @@
 	at.ctx, at.cancel = context.WithTimeout(a.runCtx, wire.Duration(req.DeadlineMS))
 	a.attempts[at.key()] = at
 	a.byTicket[at.ticket] = at
-	a.pump(now)
+	a.advance(now)
 }
 
 func (a *Agent) admit(now time.Time, at *attempt) error {
 	key := at.key()
-	_, revoked := a.tombs[key]
+	_, revoked := a.tombstones[key]
 	_, known := a.attempts[key]
 	switch {
 	case at.req.Incarnation != a.incarnation:
@@ -94,7 +94,7 @@
 	case a.draining:
 		return drainingRefusal()
 	case a.unready:
-		return sandbarrow.NotRun(sandbarrow.ReasonUpstream, "the upstream does not answer", retryPause)
+		return sandbarrow.NotRun(sandbarrow.ReasonUpstream, "the upstream does not answer", defaultRetryAfter)
 	case at.req.DeadlineMS <= 0:
 		return sandbarrow.NotRun(sandbarrow.ReasonDeadline, "the deadline has passed", 0)
 	}
@@ -113,61 +113,61 @@
 	}
 	err := a.scheduler.Submit(now, at.ticket)
 	if err != nil && at.counted {
-		a.admissions.unused()
+		a.admissions.refundSend()
 	}
 	return err
 }
 
-// endWaiting ends an attempt whose ticket has left the queue. The caller holds mu.
+// endWaiting ends an attempt whose ticket was removed from the queue. The caller holds mu.
 func (a *Agent) endWaiting(t *schedule.Ticket, refusal *sandbarrow.Refusal) {
 	at := a.byTicket[t]
 	if at == nil {
 		return
 	}
-	a.end(at, resultOf(refusal))
+	a.endAttempt(at, resultOf(refusal))
 }
 
-// end forgets an attempt and replies. The caller holds mu.
-func (a *Agent) end(at *attempt, result wire.AttemptResult) {
+// endAttempt removes an attempt and replies to its entry. The caller holds mu.
+func (a *Agent) endAttempt(at *attempt, result wire.AttemptResult) {
 	if at.state == attemptEnded {
 		return
 	}
 	at.state = attemptEnded
 	if at.counted && !at.sent {
-		a.admissions.unused()
+		a.admissions.refundSend()
 	}
 	at.cancel()
 	delete(a.attempts, at.key())
 	delete(a.byTicket, at.ticket)
 	a.metrics.attempts.WithLabelValues(string(result.Outcome)).Inc()
 	a.metrics.stalls.Observe(at.ticket.StallTime.Seconds())
-	// A slow entry must not hold up the agent.
+	// A slow entry must not block the agent.
 	go at.reply(result)
 	close(at.done)
 }
 
-// revoke withdraws an attempt. A tombstone keeps a late copy from running.
+// revoke cancels an attempt. A tombstone prevents a delayed copy from running.
 func (a *Agent) revoke(ctx context.Context, key attemptKey) wire.RevokeReply {
 	notRun := wire.RevokeReply{Outcome: sandbarrow.OutcomeNotRun}
 	a.mu.Lock()
 	at := a.attempts[key]
 	if at == nil {
-		// Messages of a connection keep their order, so that the attempt has
-		// come and ended; only its result says whether it ran.
-		a.tombs[key] = boottime.Now()
+		// Messages on a connection arrive in order, so the attempt has already
+		// arrived and ended. Only its result shows whether it ran.
+		a.tombstones[key] = boottime.Now()
 		a.mu.Unlock()
 		return wire.RevokeReply{Outcome: sandbarrow.OutcomeUnknown}
 	}
-	at.withdrawn = true
+	at.revoked = true
 	switch at.state {
 	case attemptQueued:
-		a.tombs[key] = boottime.Now()
+		a.tombstones[key] = boottime.Now()
 		a.scheduler.Remove(at.ticket)
-		a.end(at, resultOf(sandbarrow.NotRun(sandbarrow.ReasonRevoked, "revoked", 0)))
+		a.endAttempt(at, resultOf(sandbarrow.NotRun(sandbarrow.ReasonRevoked, "revoked", 0)))
 		a.mu.Unlock()
 		return notRun
 	case attemptStarting:
-		a.tombs[key] = boottime.Now()
+		a.tombstones[key] = boottime.Now()
 		a.mu.Unlock()
 		select {
 		case <-at.done: // the claim is released by then
@@ -180,7 +180,7 @@
 	return wire.RevokeReply{Outcome: sandbarrow.OutcomeUnknown}
 }
 
-// run claims a once-only attempt, starts it and ends it.
+// run executes an attempt. It first obtains a claim if the request is at-most-once.
 func (a *Agent) run(at *attempt) {
 	c, err := a.claim(at)
 	if err == nil {
@@ -200,7 +200,7 @@
 		result = a.failure(at, c, sink, err)
 	}
 	if c != nil {
-		a.answers.put(at.req.OnceID, *c, sink.kept(result))
+		a.responses.put(at.req.OnceID, *c, sink.cached(result))
 	}
 	a.finish(at, result, err != nil)
 }
@@ -210,7 +210,7 @@
 	return sandbarrow.Job{
 		Body:        r.Body,
 		ContentType: r.ContentType,
-		ID:          sandbarrow.RequestID(string(r.ID) + attemptSeparator + itoa(r.Attempt)),
+		ID:          sandbarrow.RequestID(string(r.ID) + attemptSeparator + formatAttempt(r.Attempt)),
 		Method:      r.Method,
 		Model:       r.Model,
 		Path:        r.Path,
@@ -219,7 +219,7 @@
 	}
 }
 
-// claim takes the claim of a once-only attempt, as the last act before its start.
+// claim obtains the claim of an at-most-once attempt. It is the last step before the attempt starts.
 func (a *Agent) claim(at *attempt) (*sandbarrow.Claim, error) {
 	if at.req.OnceID == "" {
 		return nil, nil
@@ -239,15 +239,15 @@
 	return &c, nil
 }
 
-// startRun marks the attempt as started unless it was withdrawn meanwhile.
+// startRun marks the attempt as started unless it was revoked in the meantime.
 func (a *Agent) startRun(at *attempt) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if at.withdrawn || at.ctx.Err() != nil {
+	if at.revoked || at.ctx.Err() != nil {
 		return sandbarrow.NotRun(sandbarrow.ReasonRevoked, "withdrawn before its start", 0)
 	}
 	now := boottime.Now()
-	// The upstream may have announced something while it waited.
+	// The upstream may have sent a notice while the attempt waited.
 	admission := a.admissions.admit(now, at.counted)
 	if admission.refusal != nil {
 		return admission.refusal
@@ -255,12 +255,12 @@
 	at.counted = admission.counted
 	at.state, at.startedAt, at.sent = attemptStarted, now, true
 	if at.req.OnceID != "" {
-		a.answers.begin(at.req.OnceID)
+		a.responses.begin(at.req.OnceID)
 	}
 	return nil
 }
 
-// release gives up a claim whose attempt did not run.
+// release releases a claim whose attempt did not run.
 func (a *Agent) release(at *attempt, c sandbarrow.Claim) {
 	ctx, cancel := context.WithTimeout(a.runCtx, claimTimeout)
 	defer cancel()
@@ -269,37 +269,37 @@
 	}
 }
 
-// failure turns an upstream's error into a result.
+// failure converts an upstream's error to a result.
 func (a *Agent) failure(at *attempt, c *sandbarrow.Claim, sink *frameSink, err error) wire.AttemptResult {
 	refused := errors.Is(err, sandbarrow.ErrUpstreamRefused) || errors.Is(err, sandbarrow.ErrUpstreamNotLoaded)
 	if refused && c != nil {
 		a.release(at, *c)
 	}
 	if !refused {
-		a.noteBroken(a.runCtx, at)
+		a.recordFailedRun(a.runCtx, at)
 	}
 	if errors.Is(err, sandbarrow.ErrUpstreamNotLoaded) {
 		a.refreshState(a.runCtx)
-		a.forget(at.req.Model)
+		a.forgetAdapter(at.req.Model)
 	}
 	a.logger.Warn("run failed", "request", string(at.req.ID), "attempt", uint32(at.req.Attempt), "adapter", at.req.Model.String(), "error", err.Error())
 	var result wire.AttemptResult
 	switch {
 	case refused:
-		result = resultOf(sandbarrow.NotRun(sandbarrow.ReasonUpstream, "the upstream refused", retryPause))
+		result = resultOf(sandbarrow.NotRun(sandbarrow.ReasonUpstream, "the upstream refused", defaultRetryAfter))
 	case at.ctx.Err() != nil:
 		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonDeadline, "given up while it ran", 0))
 	case errors.Is(err, sandbarrow.ErrUpstreamBroken):
-		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, "the upstream's answer was broken", retryPause))
+		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonResponseBroken, "the upstream's answer was broken", defaultRetryAfter))
 	default:
-		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the upstream failed", retryPause))
+		result = resultOf(sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the upstream failed", defaultRetryAfter))
 	}
 	result.Frames = sink.frames
 	return result
 }
 
-// finish ends an attempt that held a running place. After a failure the
-// engine may still be running it for a moment.
+// finish ends an attempt that was counted as running. After a failure, the engine
+// may still run the request for a moment, so its adapter stays protected.
 func (a *Agent) finish(at *attempt, result wire.AttemptResult, failed bool) {
 	now := boottime.Now()
 	a.mu.Lock()
@@ -308,20 +308,20 @@
 	if failed {
 		a.scheduler.Protect(at.req.Model, now.Add(cancelGrace))
 	}
-	a.end(at, result)
-	a.pump(now)
+	a.endAttempt(at, result)
+	a.advance(now)
 }
 
-// forgetTombs drops old tombstones. The caller holds mu.
-func (a *Agent) forgetTombs(now time.Time) {
-	for key, at := range a.tombs {
-		if now.Sub(at) > tombLife {
-			delete(a.tombs, key)
+// dropExpiredTombstones removes old tombstones. The caller holds mu.
+func (a *Agent) dropExpiredTombstones(now time.Time) {
+	for key, at := range a.tombstones {
+		if now.Sub(at) > tombstoneTTL {
+			delete(a.tombstones, key)
 		}
 	}
 }
 
-// resultOf turns an error of this layer or of the claims into a result.
+// resultOf converts an error of the agent or of the claim store to a result.
 func resultOf(err error) wire.AttemptResult {
 	if record, ok := claim.RecordOf(err); ok {
 		result := resultOf(sandbarrow.NotRun(sandbarrow.ReasonClaimed, "another attempt has a claim", 0))
@@ -330,7 +330,7 @@
 	}
 	var r *sandbarrow.Refusal
 	if !errors.As(err, &r) {
-		r = sandbarrow.NotRun(sandbarrow.ReasonStore, "the claim could not be taken", retryPause)
+		r = sandbarrow.NotRun(sandbarrow.ReasonStore, "the claim could not be taken", defaultRetryAfter)
 	}
 	return wire.AttemptResult{
 		Detail:       r.Detail,
--- a/agent/connection.go
+++ b/agent/connection.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// answerWait bounds how long a repeat waits for the first run's end.
-	answerWait = 60 * time.Second
-	// entryTimeout is the longest pause between messages of an entry: three of its idle heartbeats.
+	// responseWait bounds how long a retry waits for the first run to finish.
+	responseWait = 60 * time.Second
+	// entryTimeout is the longest pause between messages of an entry: three idle heartbeats.
 	entryTimeout = 3 * wire.IdleHeartbeat
-	// pullTimeout bounds a pull of the configuration from a peer.
+	// pullTimeout bounds a configuration pull from a peer.
 	pullTimeout = 5 * time.Second
 	// revokeWait bounds how long a revoke waits for a claim to be released.
 	revokeWait = time.Second
@@ -30,15 +30,15 @@
 
 // connection is the connection of one entry.
 type connection struct {
-	agent *Agent
-	heard atomic.Int64 // when the entry last sent a message, in nanoseconds of boottime
-	rpc   *jsonrpc2.Conn
+	agent       *Agent
+	lastContact atomic.Int64 // when the entry last sent a message, in nanoseconds of boot time
+	rpc         *jsonrpc2.Conn
 
-	// The agent's mu guards what follows.
-	box      sandbarrow.BoxID // of the entry
-	resident int              // the change of loaded adapters that was sent last
-	sent     wire.Status
-	sentAt   time.Time
+	// The agent's mu guards the fields below.
+	box             sandbarrow.BoxID // of the entry
+	residentChanges int              // the value of Agent.residentChanges at the last list sent
+	lastStatus      wire.Status
+	lastStatusAt    time.Time
 }
 
 // accept serves entries until ctx ends.
@@ -59,10 +59,10 @@
 	}
 }
 
-// serve serves one entry until it leaves.
+// serve serves one entry until it disconnects.
 func (a *Agent) serve(ctx context.Context, conn net.Conn) {
-	c := &connection{agent: a, resident: -1}
-	c.contact()
+	c := &connection{agent: a, residentChanges: -1}
+	c.recordContact()
 	ready := make(chan struct{})
 	c.rpc = jsonrpc2.NewConn(ctx, wire.NewStream(conn), wire.Handler(
 		func(ctx context.Context, r *jsonrpc2.Request) (any, error) {
@@ -78,8 +78,8 @@
 	a.dropConnection(c)
 }
 
-// dropConnection ends what an entry had here: what waits never runs, what runs
-// is cancelled unless its answer is to be kept.
+// dropConnection ends the attempts of an entry. Queued attempts never run. Running
+// attempts are canceled, except at-most-once ones, whose responses are cached.
 func (a *Agent) dropConnection(c *connection) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,9 +91,9 @@
 		switch {
 		case at.state == attemptQueued:
 			a.scheduler.Remove(at.ticket)
-			a.end(at, resultOf(sandbarrow.NotRun(sandbarrow.ReasonRevoked, "the entry left", 0)))
+			a.endAttempt(at, resultOf(sandbarrow.NotRun(sandbarrow.ReasonRevoked, "the entry left", 0)))
 		case at.req.OnceID == "":
-			at.withdrawn = true
+			at.revoked = true
 			at.cancel()
 		}
 	}
@@ -103,15 +103,15 @@
 	return c.rpc.Notify(context.Background(), method, params)
 }
 
-// handle serves one message. It must not block, since it holds up the
-// connection; what takes time replies later.
+// handle serves one message. It must not block because it delays all later messages
+// of the connection. Methods that take time reply from another goroutine.
 func (c *connection) handle(ctx context.Context, r *jsonrpc2.Request) (any, error) {
-	c.contact()
+	c.recordContact()
 	switch r.Method {
 	case wire.MethodAttempt:
 		return nil, c.handleAttempt(r)
 	case wire.MethodAnswer:
-		return wire.Later(c.rpc, r, func(q wire.AnswerRequest) any { return c.agent.answer(ctx, q) })
+		return wire.Later(c.rpc, r, func(q wire.AnswerRequest) any { return c.agent.cachedResponse(ctx, q) })
 	case wire.MethodConfigPull:
 		return wire.Later(c.rpc, r, func(q wire.ConfigPull) any { return wire.ReplyTo(q, c.agent.follower.Snapshot()) })
 	case wire.MethodCrashes:
@@ -128,7 +128,7 @@
 		if err := wire.Decode(r, &m); err != nil {
 			return nil, err
 		}
-		go c.pull(ctx, m)
+		go c.pullConfig(ctx, m)
 		return nil, nil
 	case wire.MethodRevoke:
 		return wire.Later(c.rpc, r, func(q wire.RevokeRequest) any {
@@ -146,7 +146,7 @@
 		return err
 	}
 	c.agent.receive(c, req, func(result wire.AttemptResult) {
-		_ = c.rpc.Reply(context.Background(), r.ID, result) // the entry may have left
+		_ = c.rpc.Reply(context.Background(), r.ID, result) // the entry may have disconnected
 	})
 	return wire.ErrLater
 }
@@ -169,7 +169,7 @@
 		go a.crashes.Follow(ctx, c, func(records []crash.Record) error {
 			return c.notify(wire.MethodCrashes, wire.Crashes{Records: records})
 		})
-		go c.pull(ctx, h.Config)
+		go c.pullConfig(ctx, h.Config)
 	}
 	return wire.HelloReply{
 		BaseModel:     u.BaseModel,
@@ -184,8 +184,8 @@
 	}, nil
 }
 
-// pull fetches the entry's configuration if it is newer than ours.
-func (c *connection) pull(ctx context.Context, m config.Mark) {
+// pullConfig fetches the entry's configuration if it is newer than the agent's.
+func (c *connection) pullConfig(ctx context.Context, m config.Mark) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	if err := wire.PullConfig(ctx, c.rpc, c.agent.follower, m); err != nil {
@@ -193,11 +193,11 @@
 	}
 }
 
-// answer returns the kept answer of a once-only request.
-func (a *Agent) answer(ctx context.Context, q wire.AnswerRequest) wire.AttemptResult {
-	ctx, cancel := context.WithTimeout(ctx, answerWait)
+// cachedResponse returns the cached response of an at-most-once request.
+func (a *Agent) cachedResponse(ctx context.Context, q wire.AnswerRequest) wire.AttemptResult {
+	ctx, cancel := context.WithTimeout(ctx, responseWait)
 	defer cancel()
-	result, c, ok := a.answers.get(ctx, q.ID, q.Claim)
+	result, c, ok := a.responses.get(ctx, q.ID, q.Claim)
 	switch {
 	case !ok:
 		return resultOf(sandbarrow.Unknown(sandbarrow.ReasonClaimed, "an earlier request under this key may have run; its answer is not kept", 0))
@@ -207,8 +207,8 @@
 	return result
 }
 
-// statusLoop sends each entry the agent's status, as the heartbeat too: often
-// while the entry has work here or something changes, else rarely.
+// statusLoop sends each entry the agent's status, which also serves as the heartbeat.
+// It sends often while the entry has work here or the status changes, and rarely otherwise.
 func (a *Agent) statusLoop(ctx context.Context) error {
 	t := time.NewTicker(wire.Heartbeat)
 	defer t.Stop()
@@ -226,36 +226,36 @@
 	now := boottime.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.forgetTombs(now)
+	a.dropExpiredTombstones(now)
 	working := map[sandbarrow.BoxID]bool{}
 	for _, at := range a.attempts {
 		working[at.conn.box] = true
 	}
 	for c := range a.conns {
-		if c.silence() > entryTimeout {
-			a.logger.Warn("entry is silent, connection closed")
+		if c.sinceLastContact() > entryTimeout {
+			a.logger.Warn("entry heartbeat timeout, connection closed")
 			go c.rpc.Close()
 			continue
 		}
 		s := a.status(c)
-		if working[c.box] || !s.Same(&c.sent) || now.Sub(c.sentAt) >= wire.IdleHeartbeat {
-			c.sent, c.sentAt = s, now
+		if working[c.box] || !s.UnchangedFrom(&c.lastStatus) || now.Sub(c.lastStatusAt) >= wire.IdleHeartbeat {
+			c.lastStatus, c.lastStatusAt = s, now
 			go func() { _ = c.notify(wire.MethodStatus, s) }()
 		}
 	}
 }
 
-// contact notes that the entry has sent a message.
-func (c *connection) contact() {
-	c.heard.Store(boottime.Now().UnixNano())
+// recordContact records that the entry has sent a message.
+func (c *connection) recordContact() {
+	c.lastContact.Store(boottime.Now().UnixNano())
 }
 
-// silence is for how long the entry has sent nothing.
-func (c *connection) silence() time.Duration {
-	return time.Duration(boottime.Now().UnixNano() - c.heard.Load())
+// sinceLastContact returns the time since the entry's last message.
+func (c *connection) sinceLastContact() time.Duration {
+	return time.Duration(boottime.Now().UnixNano() - c.lastContact.Load())
 }
 
-// status is the status for one entry. The caller holds mu.
+// status returns the status for one entry. The caller holds mu.
 func (a *Agent) status(c *connection) wire.Status {
 	st := a.scheduler.Stats(boottime.Now())
 	s := wire.Status{
@@ -267,8 +267,8 @@
 		ServiceMS: wire.Millis(st.RunTime),
 		Unready:   a.unready,
 	}
-	if c.resident != a.resident {
-		c.resident = a.resident
+	if c.residentChanges != a.residentChanges {
+		c.residentChanges = a.residentChanges
 		s.Resident = a.scheduler.Resident()
 	}
 	return s
--- a/agent/ends_test.go
+++ b/agent/exits_test.go
@@ -16,7 +16,7 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-func TestRunsBreakWithTheirUpstream(t *testing.T) {
+func TestUpstreamExitCountsAsCrashOfFailedRuns(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	a := &Agent{
@@ -24,33 +24,33 @@
 		crashes:    crash.NewLog(boottime.Now), incarnation: "i", logger: slog.New(slog.DiscardHandler),
 		settings: &settings.Settings{Agent: &settings.Agent{Upstream: settings.Upstream{ID: "u", URL: "http://" + listener.Addr().String()}}},
 	}
-	fatal, beside := crash.NewFingerprint([]byte("fatal")), crash.NewFingerprint([]byte("beside"))
+	fatal, unrelated := crash.NewFingerprint([]byte("fatal")), crash.NewFingerprint([]byte("beside"))
 	run := func(f crash.Fingerprint) *attempt {
 		return &attempt{ctx: context.Background(), req: wire.AttemptRequest{Fingerprint: &f}, startedAt: boottime.Now()}
 	}
-	ends := func(f crash.Fingerprint) int { return a.crashes.Decide(f, 100).Crashes }
-	a.noteBroken(t.Context(), run(fatal))
-	assert.Equal(t, ends(fatal), 0, "it still listens")
+	crashCount := func(f crash.Fingerprint) int { return a.crashes.Decide(f, 100).Crashes }
+	a.recordFailedRun(t.Context(), run(fatal))
+	assert.Equal(t, crashCount(fatal), 0, "the upstream still listens")
 	assert.NilError(t, listener.Close())
-	late := run(beside)
+	late := run(unrelated)
 	time.Sleep(time.Millisecond)
-	a.noteBroken(t.Context(), run(fatal))
-	assert.Equal(t, ends(fatal), 1)
-	a.noteBroken(t.Context(), late)
-	assert.Equal(t, ends(beside), 1)
-	a.noteBroken(t.Context(), run(fatal))
-	assert.Equal(t, ends(fatal), 1, "it is not back yet")
+	a.recordFailedRun(t.Context(), run(fatal))
+	assert.Equal(t, crashCount(fatal), 1)
+	a.recordFailedRun(t.Context(), late)
+	assert.Equal(t, crashCount(unrelated), 1)
+	a.recordFailedRun(t.Context(), run(fatal))
+	assert.Equal(t, crashCount(fatal), 1, "the upstream has not restarted yet")
 	for n := range 2 {
-		boottime.Suspend(sameEnd)
-		a.noteBroken(t.Context(), run(fatal))
-		assert.Equal(t, ends(fatal), 2+n)
+		boottime.Suspend(sameExitWindow)
+		a.recordFailedRun(t.Context(), run(fatal))
+		assert.Equal(t, crashCount(fatal), 2+n)
 	}
 	assert.Assert(t, a.crashes.Decide(fatal, 100).Refused)
-	assert.Assert(t, !a.crashes.Decide(beside, 100).Refused)
-	cancelled := run(beside)
+	assert.Assert(t, !a.crashes.Decide(unrelated, 100).Refused)
+	canceled := run(unrelated)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	cancelled.ctx = ctx
-	a.noteBroken(t.Context(), cancelled)
-	assert.Equal(t, ends(beside), 1, "its entry ended it")
+	canceled.ctx = ctx
+	a.recordFailedRun(t.Context(), canceled)
+	assert.Equal(t, crashCount(unrelated), 1, "the entry canceled the run")
 }
--- a/agent/framesink.go
+++ b/agent/framesink.go
@@ -9,35 +9,35 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// maxAnswerBytes bounds an answer that is held in memory.
-const maxAnswerBytes = 8 << 20
+// maxResponseBytes bounds a response that is buffered in memory.
+const maxResponseBytes = 8 << 20
 
-// frameSink takes an upstream's answer: streamed ones go out frame by frame,
-// whole ones are gathered for the result.
+// frameSink receives an upstream's response. It forwards streamed responses frame by
+// frame and buffers others for the result.
 type frameSink struct {
-	answer sandbarrow.ResponseHeader
-	at     *attempt
-	body   []byte
-	frames int
-	gather bool
+	header   sandbarrow.ResponseHeader
+	at       *attempt
+	body     []byte
+	frames   int
+	buffered bool
 }
 
-// newFrameSink returns a sink; keep gathers streamed answers too.
-func newFrameSink(at *attempt, keep bool) *frameSink {
-	return &frameSink{at: at, gather: keep || !at.req.Stream}
+// newFrameSink returns a sink. If cache is set, it buffers streamed responses too.
+func newFrameSink(at *attempt, cache bool) *frameSink {
+	return &frameSink{at: at, buffered: cache || !at.req.Stream}
 }
 
-// Begin takes the head of the answer.
+// Begin receives the response header.
 func (s *frameSink) Begin(a sandbarrow.ResponseHeader) error {
-	s.answer = a
+	s.header = a
 	return nil
 }
 
-// Write takes one part.
+// Write receives the next part of the response body.
 func (s *frameSink) Write(p []byte) (int, error) {
-	if s.gather {
-		if len(s.body)+len(p) > maxAnswerBytes {
-			return 0, errors.Annotatef(sandbarrow.ErrUpstreamBroken, "answer is over %d bytes", maxAnswerBytes)
+	if s.buffered {
+		if len(s.body)+len(p) > maxResponseBytes {
+			return 0, errors.Annotatef(sandbarrow.ErrUpstreamBroken, "response exceeds %d bytes", maxResponseBytes)
 		}
 		s.body = append(s.body, p...)
 	}
@@ -46,23 +46,23 @@
 	}
 	f := wire.Frame{Data: p, Handle: s.at.req.Handle, Sequence: s.frames}
 	if s.frames == 0 {
-		f.ContentType, f.Status = s.answer.ContentType, s.answer.Status
+		f.ContentType, f.Status = s.header.ContentType, s.header.Status
 	}
 	s.frames++
-	// A once-only run goes on without its entry; its answer is kept.
+	// An at-most-once run continues without its entry because its response is cached.
 	if err := s.at.conn.notify(wire.MethodFrame, f); err != nil && s.at.req.OnceID == "" {
 		return 0, errors.Annotate(sandbarrow.ErrUpstreamUnknown, err.Error())
 	}
 	return len(p), nil
 }
 
-// result is the final message of a whole answer.
+// result returns the final message of a complete response.
 func (s *frameSink) result() wire.AttemptResult {
 	r := wire.AttemptResult{
-		ContentType: s.answer.ContentType,
+		ContentType: s.header.ContentType,
 		Frames:      s.frames,
 		Outcome:     sandbarrow.OutcomeComplete,
-		Status:      s.answer.Status,
+		Status:      s.header.Status,
 	}
 	if !s.at.req.Stream {
 		r.Body = s.body
@@ -70,9 +70,9 @@
 	return r
 }
 
-// kept is the result as it is kept for repeats of a once-only request. It names its
-// origin, since a repeat may come under another version.
-func (s *frameSink) kept(r wire.AttemptResult) wire.AttemptResult {
+// cached returns the result in the form that is cached for retries of an at-most-once
+// request. It names its origin because a retry may arrive under another version.
+func (s *frameSink) cached(r wire.AttemptResult) wire.AttemptResult {
 	if r.Outcome == sandbarrow.OutcomeComplete {
 		r.Origin = &wire.Origin{Model: s.at.req.Model, Revision: s.at.req.Revision}
 		r.Body = s.body
@@ -81,6 +81,6 @@
 	return r
 }
 
-func itoa(n sandbarrow.Attempt) string {
+func formatAttempt(n sandbarrow.Attempt) string {
 	return strconv.FormatUint(uint64(n), 10)
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -7,7 +7,7 @@
 	"sandbarrow.example/sandbarrow/schedule"
 )
 
-// metrics are the agent's metrics.
+// metrics holds the agent's metrics.
 type metrics struct {
 	attempts *prometheus.CounterVec
 	orders   *prometheus.CounterVec
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// loadTimeout bounds a load; an engine may hang.
-	loadTimeout = 20 * time.Second
-	// loadPatience is how many times the usual load time a load may take, but not less than
-	// loadTimeoutMin.
-	loadPatience   = 8
-	loadTimeoutMin = 2 * time.Second
+	// maxLoadTimeout bounds a load because an engine may hang.
+	maxLoadTimeout = 20 * time.Second
+	// loadTimeoutFactor is the number of usual load times that a load may take. The timeout is at
+	// least minLoadTimeout.
+	loadTimeoutFactor = 8
+	minLoadTimeout    = 2 * time.Second
 	// unloadTimeout bounds an unload.
 	unloadTimeout = 5 * time.Second
 )
 
-// pumpOrders begins the loads that the lease and the budget permit. The
+// startLoads begins the loads that the lease and the load budget permit. The
 // caller holds mu.
-func (a *Agent) pumpOrders(now time.Time) {
-	_, mayLoad := a.token(false)
-	_, mayUnload := a.token(true)
-	for mayLoad && !now.Before(a.ordered) {
+func (a *Agent) startLoads(now time.Time) {
+	_, mayLoad := a.fencingToken(false)
+	_, mayUnload := a.fencingToken(true)
+	for mayLoad && !now.Before(a.nextOrderAt) {
 		o, ok := a.scheduler.NextOrder(now, mayUnload)
 		if !ok {
 			return
 		}
 		ok, wait := a.budget.Acquire(now)
 		if !ok {
-			a.ordered = now.Add(wait)
+			a.nextOrderAt = now.Add(wait)
 			return
 		}
 		a.scheduler.BeginOrder(now, o)
@@ -43,11 +43,11 @@
 	}
 }
 
-// token returns the fencing token under which an order may be sent now. In an
-// outage of the store nobody can have got a newer token; an upstream that
-// checks tokens keeps taking ours. One that does not check gets only loads into
-// free slots, which undo nothing that another agent did.
-func (a *Agent) token(unload bool) (sandbarrow.FencingToken, bool) {
+// fencingToken returns the fencing token under which an order may be sent now. During a
+// store outage no other agent can have obtained a newer token, so an upstream that checks
+// tokens still accepts this one. An upstream that does not check them only receives loads
+// into free slots, which can't undo another agent's orders.
+func (a *Agent) fencingToken(unload bool) (sandbarrow.FencingToken, bool) {
 	g := a.lease.Check()
 	checks := a.settings.Agent.Upstream.ChecksToken
 	switch g.State {
@@ -62,57 +62,57 @@
 	return 0, false
 }
 
-// execute carries out an order: the unload of its victim, then its load.
+// execute executes an order: it unloads the adapter to evict, if any, then loads the new one.
 func (a *Agent) execute(o schedule.Order) {
 	if !o.Evict.IsZero() && !a.unload(o) {
-		a.endOrder(o, errors.Annotate(sandbarrow.ErrUpstreamRefused, "victim not unloaded"))
+		a.endOrder(o, errors.Annotate(sandbarrow.ErrUpstreamRefused, "adapter to evict was not unloaded"))
 		return
 	}
 	if !a.isCurrent(o) {
 		a.endOrder(o, errors.Annotate(sandbarrow.ErrUpstreamRefused, "engine restarted"))
 		return
 	}
-	token, ok := a.token(false)
+	fencingToken, ok := a.fencingToken(false)
 	if !ok {
 		a.endOrder(o, errors.Annotate(sandbarrow.ErrUpstreamRefused, "lease not held"))
 		return
 	}
-	ctx, cancel := context.WithTimeout(a.runCtx, a.loadLimit())
+	ctx, cancel := context.WithTimeout(a.runCtx, a.loadTimeout())
 	defer cancel()
-	err := a.engine.Load(ctx, sandbarrow.Order{Model: o.Model, Token: token, Weights: o.Weights})
+	err := a.engine.Load(ctx, sandbarrow.Order{Model: o.Model, Token: fencingToken, Weights: o.Weights})
 	a.endOrder(o, err)
 }
 
-// isCurrent reports whether an order was decided for the engine's start as far as known.
+// isCurrent reports whether an order was made for the engine's last known start.
 func (a *Agent) isCurrent(o schedule.Order) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.scheduler.IsCurrent(o)
 }
 
-func (a *Agent) loadLimit() time.Duration {
+func (a *Agent) loadTimeout() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return min(loadTimeout, max(loadTimeoutMin, loadPatience*a.scheduler.Stats(boottime.Now()).LoadTime))
+	return min(maxLoadTimeout, max(minLoadTimeout, loadTimeoutFactor*a.scheduler.Stats(boottime.Now()).LoadTime))
 }
 
 func (a *Agent) unload(o schedule.Order) bool {
-	token, ok := a.token(true)
+	fencingToken, ok := a.fencingToken(true)
 	if ok {
 		ctx, cancel := context.WithTimeout(a.runCtx, unloadTimeout)
 		defer cancel()
-		err := a.engine.Unload(ctx, sandbarrow.Order{Model: o.Evict, Token: token})
+		err := a.engine.Unload(ctx, sandbarrow.Order{Model: o.Evict, Token: fencingToken})
 		ok = err == nil || errors.Is(err, sandbarrow.ErrUpstreamNotLoaded)
 		a.metrics.orders.WithLabelValues("unload", orderResult(err)).Inc()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.scheduler.EvictDone(o, ok)
-	a.resident++
+	a.residentChanges++
 	return ok
 }
 
-// endOrder tells the scheduler and the budget how an order ended.
+// endOrder reports the result of an order to the scheduler and the load budget.
 func (a *Agent) endOrder(o schedule.Order, err error) {
 	a.metrics.orders.WithLabelValues("load", orderResult(err)).Inc()
 	if err != nil {
@@ -127,16 +127,16 @@
 		a.scheduler.Postpone(now, o)
 	} else {
 		for _, t := range a.scheduler.LoadDone(now, o, err == nil) {
-			a.endWaiting(t, sandbarrow.NotRun(sandbarrow.ReasonLoadFailed, "the adapter did not load", 2*retryPause))
+			a.endWaiting(t, sandbarrow.NotRun(sandbarrow.ReasonLoadFailed, "the adapter did not load", 2*defaultRetryAfter))
 		}
 	}
 	if err != nil || !a.scheduler.IsCurrent(o) {
-		// The order may have taken effect, or an earlier one whose reply was lost; one
-		// from before a restart may have reached either start.
-		go a.adoptUnknown(a.runCtx)
+		// The order may have taken effect, or an earlier order whose reply was lost. An
+		// order from before a restart may have reached the old or the new process.
+		go a.mergeEngineState(a.runCtx)
 	}
-	a.resident++
-	a.pump(now)
+	a.residentChanges++
+	a.advance(now)
 }
 
 func orderResult(err error) string {
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -24,7 +24,7 @@
 
 var testModel = sandbarrow.ModelRef{Adapter: "a", Version: "v1"}
 
-// fakeEngine tells a state and counts loads.
+// fakeEngine returns a fixed state and counts loads.
 type fakeEngine struct {
 	sandbarrow.Engine
 	loads int
@@ -40,8 +40,8 @@
 	return f.state, nil
 }
 
-// restartedAgent is an agent whose engine restarted while an order was under way. The
-// agent drains, so that it gives no order of its own.
+// restartedAgent returns an agent whose engine restarted while an order was in progress, and that
+// order. The agent is draining, so it starts no orders of its own.
 func restartedAgent(t *testing.T, engine *fakeEngine) (*Agent, schedule.Order) {
 	a := &Agent{
 		admissions: newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler)),
@@ -54,19 +54,19 @@
 		scheduler: schedule.New(schedule.Options{
 			Evictor: evict.NewCost(), MaxQueued: 10, MaxRunning: 4, Order: queueorder.Aged{Step: time.Second}, Slots: 2,
 		}),
-		settings: &settings.Settings{Agent: &settings.Agent{}},
-		waiting:  make(chan struct{}, 1),
+		settings:   &settings.Settings{Agent: &settings.Agent{}},
+		hasWaiting: make(chan struct{}, 1),
 	}
 	a.metrics = newMetrics(prometheus.NewRegistry(), a)
 	now := boottime.Now()
-	a.adopt(now, sandbarrow.UpstreamState{Start: "first"})
+	a.resetToEngineState(now, sandbarrow.UpstreamState{Start: "first"})
 	ticket := &schedule.Ticket{Arrived: now, Deadline: now.Add(time.Minute), Model: testModel}
 	assert.NilError(t, a.scheduler.Submit(now, ticket))
 	o, ok := a.scheduler.NextOrder(now, true)
 	assert.Assert(t, ok)
 	a.scheduler.BeginOrder(now, o)
 	a.scheduler.Remove(ticket)
-	a.adopt(now, sandbarrow.UpstreamState{Start: "second"})
+	a.resetToEngineState(now, sandbarrow.UpstreamState{Start: "second"})
 	return a, o
 }
 
@@ -77,36 +77,36 @@
 	return h
 }
 
-func (a *Agent) holds() int {
+func (a *Agent) residentCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.scheduler.Resident())
 }
 
-func TestOrderMissesNextStart(t *testing.T) {
+func TestOrderIsNotSentToRestartedEngine(t *testing.T) {
 	engine := &fakeEngine{state: sandbarrow.UpstreamState{Start: "second"}}
 	a, o := restartedAgent(t, engine)
 	a.execute(o)
 	assert.Equal(t, engine.loads, 0)
-	assert.Equal(t, a.holds(), 0)
+	assert.Equal(t, a.residentCount(), 0)
 }
 
-func TestLoadAcrossRestartIsLookedUp(t *testing.T) {
+func TestLoadDuringRestartReadsEngineState(t *testing.T) {
 	engine := &fakeEngine{state: sandbarrow.UpstreamState{Start: "second"}}
 	a, o := restartedAgent(t, engine)
 	a.endOrder(o, nil)
-	assert.Equal(t, a.holds(), 0)
+	assert.Equal(t, a.residentCount(), 0)
 
 	engine = &fakeEngine{state: sandbarrow.UpstreamState{Start: "second", Loaded: map[sandbarrow.ModelRef]int{testModel: 0}}}
 	a, o = restartedAgent(t, engine)
 	a.endOrder(o, nil)
-	await.Until(t, 5*time.Second, "the engine's list is taken in", func() bool { return a.holds() == 1 })
+	await.Until(t, 5*time.Second, "the engine's adapter list is merged", func() bool { return a.residentCount() == 1 })
 }
 
-func TestListOfAnotherStart(t *testing.T) {
+func TestAdapterListOfAnotherStartIsIgnored(t *testing.T) {
 	engine := &fakeEngine{state: sandbarrow.UpstreamState{Start: "first", Loaded: map[sandbarrow.ModelRef]int{testModel: 0}}}
 	a, o := restartedAgent(t, engine)
 	a.scheduler.Postpone(boottime.Now(), o)
-	a.adoptUnknown(t.Context())
-	assert.Equal(t, a.holds(), 0)
+	a.mergeEngineState(t.Context())
+	assert.Equal(t, a.residentCount(), 0)
 }
--- a/agent/state.go
+++ b/agent/state.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// inheritGrace protects what a previous agent may still be running.
+	// inheritGrace protects adapters whose requests from a previous agent may still be running.
 	inheritGrace = 10 * time.Second
-	// statePause is the pause between two looks at the engine.
-	statePause = 500 * time.Millisecond
-	// stateTimeout bounds one look.
+	// statePollInterval is the pause between two reads of the engine's state.
+	statePollInterval = 500 * time.Millisecond
+	// stateTimeout bounds one read of the state.
 	stateTimeout = 2 * time.Second
-	// unreadyAfter is how many looks must fail before new work is refused.
+	// unreadyAfter is how many reads in a row must fail before new work is refused.
 	unreadyAfter = 2
 )
 
-// stateLoop watches the engine for empty restarts, for silence and for runs
-// that are not ours.
+// stateLoop polls the engine's state. It detects restarts that lost the loaded adapters,
+// an unreachable engine, and runs that this agent did not start.
 func (a *Agent) stateLoop(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -32,7 +32,7 @@
 		}
 		a.setUnready(failures >= unreadyAfter)
 		select {
-		case <-time.After(statePause):
+		case <-time.After(statePollInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -50,21 +50,21 @@
 	}
 }
 
-// refreshState compares what is loaded as far as known with the engine's list. It
-// returns false when the engine does not answer.
+// refreshState reads the engine's state and replaces the list of loaded adapters after a
+// restart. It returns false if the engine does not respond.
 func (a *Agent) refreshState(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := a.engine.State(ctx)
 	if err != nil {
-		a.logger.Debug("engine state not read", "error", err.Error()) // a change of readiness is logged as such
+		a.logger.Debug("engine state not read", "error", err.Error()) // setUnready logs changes of readiness
 		return false
 	}
 	now := boottime.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if state.Start != a.start {
-		a.adopt(now, state)
+	if state.Start != a.upstreamStart {
+		a.resetToEngineState(now, state)
 	}
 	for model, running := range state.Loaded {
 		if running > 0 {
@@ -74,56 +74,56 @@
 	return true
 }
 
-// adoptUnknown takes in what the engine holds without our knowledge, after an
-// order whose effect is not known. The list may lag: an adapter that is gone
-// shows when a run is refused for it, see forget.
-func (a *Agent) adoptUnknown(ctx context.Context) {
+// mergeEngineState adds adapters that the engine reports as loaded and the agent doesn't
+// track, after an order whose effect is unknown. The engine's list may lag. An adapter
+// that is no longer loaded is removed by forgetAdapter when the engine refuses a run.
+func (a *Agent) mergeEngineState(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := a.engine.State(ctx)
 	if err != nil {
-		a.logger.Debug("engine state not read", "error", err.Error()) // the next look takes the list in
+		a.logger.Debug("engine state not read", "error", err.Error()) // stateLoop reads the state again
 		return
 	}
 	now := boottime.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if state.Start != a.start {
-		return // a list of another start; the next look finds out which one is newer
+	if state.Start != a.upstreamStart {
+		return // the list is of another start; the next read shows which start is newer
 	}
 	for model := range state.Loaded {
 		a.scheduler.Adopt(now, model)
 	}
-	a.resident++
-	a.pump(now)
+	a.residentChanges++
+	a.advance(now)
 }
 
-// forget drops an adapter for which the engine refused a run.
-func (a *Agent) forget(model sandbarrow.ModelRef) {
+// forgetAdapter removes an adapter for which the engine refused a run.
+func (a *Agent) forgetAdapter(model sandbarrow.ModelRef) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.scheduler.Forget(model)
-	a.resident++
+	a.residentChanges++
 }
 
-// adopt replaces what is loaded by the engine's list after a start of either side.
-// The caller holds mu.
-func (a *Agent) adopt(now time.Time, state sandbarrow.UpstreamState) {
-	var keepUntil time.Time
-	if a.start == "" {
-		keepUntil = now.Add(inheritGrace)
+// resetToEngineState replaces the list of loaded adapters by the engine's list after the
+// agent or the engine has started. The caller holds mu.
+func (a *Agent) resetToEngineState(now time.Time, state sandbarrow.UpstreamState) {
+	var protectedUntil time.Time
+	if a.upstreamStart == "" {
+		protectedUntil = now.Add(inheritGrace)
 	} else {
 		a.logger.Warn("engine restarted", "start", state.Start, "loaded", len(state.Loaded))
-		a.noteEnd(now)
-		a.admissions.restarted()
+		a.recordExit(now)
+		a.admissions.clearNotices()
 	}
-	a.start = state.Start
+	a.upstreamStart = state.Start
 	models := make([]sandbarrow.ModelRef, 0, len(state.Loaded))
 	for model := range state.Loaded {
 		models = append(models, model)
 	}
 	slices.SortFunc(models, func(x, y sandbarrow.ModelRef) int { return slices.Compare([]byte(x.String()), []byte(y.String())) })
-	a.scheduler.Reset(now, models, keepUntil)
-	a.resident++
-	a.pump(now)
+	a.scheduler.Reset(now, models, protectedUntil)
+	a.residentChanges++
+	a.advance(now)
 }
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// idlePause is the pause between looks whether all work has ended.
-	idlePause = 20 * time.Millisecond
-	// listPause is the pause between looks at the list of boxes.
-	listPause = time.Second
-	// restartPause is the pause between two looks whether an upstream that drains has ended: less
-	// than a restart takes.
-	restartPause = 200 * time.Millisecond
-	// settlePause lets the last replies reach the entries.
-	settlePause = 200 * time.Millisecond
+	// idlePollInterval is the pause between checks whether all work has finished.
+	idlePollInterval = 20 * time.Millisecond
+	// boxListPollInterval is the pause between reads of the box list.
+	boxListPollInterval = time.Second
+	// restartPollInterval is the pause between two checks whether a draining upstream has exited.
+	// It is shorter than a restart takes.
+	restartPollInterval = 200 * time.Millisecond
+	// replyFlushDelay is the delay that lets the last replies reach the entries.
+	replyFlushDelay = 200 * time.Millisecond
 )
 
 func newBoxList(s *settings.Settings) sandbarrow.BoxList {
@@ -30,15 +30,15 @@
 	return boxlist.NewHTTP(s.Platform.BoxList)
 }
 
-// watchBoxList drains the agent when its box is said to be leaving.
+// watchBoxList drains the agent when the box list reports its box as draining.
 func (a *Agent) watchBoxList(ctx context.Context) error {
-	for a.list != nil && ctx.Err() == nil {
-		boxes, err := a.list.Boxes(ctx)
+	for a.boxList != nil && ctx.Err() == nil {
+		boxes, err := a.boxList.Boxes(ctx)
 		if err == nil && isDraining(boxes, a.settings.Box.ID) {
-			a.drain("box is leaving")
+			a.drain("box is draining")
 		}
 		select {
-		case <-time.After(listPause):
+		case <-time.After(boxListPollInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -54,8 +54,8 @@
 	return false
 }
 
-// drain refuses new work from now on, gives back what has not started and lets
-// finish what runs.
+// drain refuses new work from now on and refuses attempts that have not started.
+// Running attempts finish.
 func (a *Agent) drain(why string) {
 	a.mu.Lock()
 	if a.draining {
@@ -64,21 +64,21 @@
 	}
 	a.draining = true
 	a.logger.Info("draining", "why", why)
-	a.giveBack()
+	a.refuseQueued()
 	a.mu.Unlock()
 	a.broadcastStatus()
 }
 
-// upstreamDrains gives back what has not started, since the upstream has announced that it drains.
-func (a *Agent) upstreamDrains() {
+// onUpstreamDrain refuses attempts that have not started, after a drain notice of the upstream.
+func (a *Agent) onUpstreamDrain() {
 	a.mu.Lock()
-	a.giveBack()
+	a.refuseQueued()
 	a.mu.Unlock()
 	a.broadcastStatus()
 }
 
-// giveBack refuses all attempts that have not started. The caller holds mu.
-func (a *Agent) giveBack() {
+// refuseQueued refuses all attempts that have not started. The caller holds mu.
+func (a *Agent) refuseQueued() {
 	waiting := make([]*schedule.Ticket, 0, len(a.byTicket))
 	for t, at := range a.byTicket {
 		if at.state == attemptQueued {
@@ -91,26 +91,27 @@
 	}
 }
 
-// watchRestart watches, while the upstream drains, whether its process has ended and another one
-// listens, until ctx ends. Services do not say which of their starts answers.
+// watchRestart checks, while the upstream is draining, whether its process has exited and a new one
+// listens. It runs until ctx ends. Services don't report a start ID, so a restart shows only as
+// refused connections followed by accepted ones.
 func (a *Agent) watchRestart(ctx context.Context) error {
-	ended := false
+	exited := false
 	for ctx.Err() == nil {
 		if a.admissions.draining() {
 			refuses := refusesConnections(ctx, a.settings.Agent.Upstream.URL)
-			if ended && !refuses {
-				a.admissions.restarted()
+			if exited && !refuses {
+				a.admissions.clearNotices()
 				a.logger.Info("upstream started again")
 				a.broadcastStatus()
 			}
-			ended = refuses
+			exited = refuses
 		}
-		pause.For(ctx, restartPause)
+		pause.For(ctx, restartPollInterval)
 	}
 	return nil
 }
 
-// waitIdle waits until nothing runs, at most for grace.
+// waitIdle waits until no attempt is left, but at most for the grace period.
 func (a *Agent) waitIdle(grace time.Duration) {
 	end := time.Now().Add(grace)
 	for time.Now().Before(end) {
@@ -118,10 +119,10 @@
 		n := len(a.attempts)
 		a.mu.Unlock()
 		if n == 0 {
-			time.Sleep(settlePause)
+			time.Sleep(replyFlushDelay)
 			return
 		}
-		time.Sleep(idlePause)
+		time.Sleep(idlePollInterval)
 	}
 	a.logger.Error("stopped with work in progress", "grace", grace.String())
 }
--- a/agent/suspension_test.go
+++ b/agent/suspension_test.go
@@ -9,10 +9,10 @@
 	"sandbarrow.example/sandbarrow/internal/boottime"
 )
 
-func TestEntrySilenceCountsASuspension(t *testing.T) {
+func TestEntryTimeoutIncludesBoxSuspension(t *testing.T) {
 	c := &connection{}
-	c.contact()
-	assert.Assert(t, c.silence() < entryTimeout)
+	c.recordContact()
+	assert.Assert(t, c.sinceLastContact() < entryTimeout)
 	boottime.Suspend(time.Minute)
-	assert.Check(t, c.silence() > entryTimeout)
+	assert.Check(t, c.sinceLastContact() > entryTimeout)
 }
--- a/wire/handler.go
+++ b/wire/handler.go
@@ -8,20 +8,20 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrLater is returned by a Handler function that replies by itself.
+// ErrLater is returned by a Handler that sends its reply itself.
 const ErrLater = errors.ConstError("wire: reply follows")
 
-// Handler serves the messages of a connection one by one, in order.
+// Handler serves the messages of a connection one at a time, in order.
 type Handler func(ctx context.Context, r *jsonrpc2.Request) (any, error)
 
-// Handle serves one message and replies unless the function does so later.
+// Handle serves one message and replies unless h returns ErrDeferredReply.
 func (h Handler) Handle(ctx context.Context, conn *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	result, err := h(ctx, r)
 	if r.Notif || errors.Is(err, ErrLater) {
 		return
 	}
 	if err == nil {
-		_ = conn.Reply(ctx, r.ID, result) // a peer that left needs no reply
+		_ = conn.Reply(ctx, r.ID, result) // a disconnected peer needs no reply
 		return
 	}
 	var e *jsonrpc2.Error
@@ -31,7 +31,7 @@
 	_ = conn.ReplyWithError(ctx, r.ID, e)
 }
 
-// Decode reads the parameters of a message.
+// Decode decodes the parameters of a message into v.
 func Decode(r *jsonrpc2.Request, v any) error {
 	if r.Params == nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: r.Method + ": no params"}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Later serves a call in its own goroutine, so that it does not hold up the
+// Later serves a call in its own goroutine, so it does not delay later messages of the
 // connection.
 func Later[T any](rpc *jsonrpc2.Conn, r *jsonrpc2.Request, serve func(T) any) (any, error) {
 	var q T
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// Heartbeat is the pause between two signs of life while work is in progress between an entry
-	// and an agent.
+	// Heartbeat is the pause between two heartbeats while work is in progress between an
+	// entry and an agent.
 	Heartbeat = 500 * time.Millisecond
-	// IdleHeartbeat is the pause while nothing is, which keeps a link that only waits within the
-	// bytes that a node may spend for control.
+	// IdleHeartbeat is the pause between two heartbeats on an idle connection. It keeps idle
+	// connections within the bytes that a node may spend on control traffic.
 	IdleHeartbeat = 5 * time.Second
-	// HeartbeatTimeout is how long nothing may arrive from a peer with work in progress
-	// before it counts as unreachable.
+	// HeartbeatTimeout is the time without messages after which a peer with work in progress counts
+	// as unreachable.
 	HeartbeatTimeout = 3 * Heartbeat
 )
 
-// Same reports whether s tells an entry nothing that it has not read in sent.
-// Measured times alone are no news.
-func (s *Status) Same(sent *Status) bool {
+// UnchangedFrom reports whether s contains nothing new for an entry that has received sent.
+// Changes of the measured times alone don't count.
+func (s *Status) UnchangedFrom(sent *Status) bool {
 	return s.Resident == nil &&
 		s.Config == sent.Config &&
 		s.Draining == sent.Draining &&
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -9,56 +9,56 @@
 	"sandbarrow.example/sandbarrow/crash"
 )
 
-// The methods between entries and agents.
+// The JSON-RPC methods between entries and agents.
 const (
-	// MethodAnswer asks an agent for the kept answer of a once-only request.
+	// MethodAnswer requests the cached response of an at-most-once request from an agent.
 	MethodAnswer = "answer"
-	// MethodAttempt runs one attempt; its result is the final message of it.
+	// MethodAttempt runs one attempt. Its reply is the final message of the attempt.
 	MethodAttempt = "attempt"
-	// MethodConfigPull asks the peer for its configuration.
+	// MethodConfigPull requests the peer's configuration.
 	MethodConfigPull = "config.pull"
-	// MethodCrashes tells under which requests upstreams have ended, either way.
+	// MethodCrashes reports the requests under which upstreams crashed. Both sides send it.
 	MethodCrashes = "crash.records"
-	// MethodFrame carries a part of a streamed answer, agent to entry.
+	// MethodFrame carries a part of a streamed response from an agent to an entry.
 	MethodFrame = "frame"
 	// MethodHello opens a connection.
 	MethodHello = "hello"
-	// MethodMark tells an agent of the entry's configuration.
+	// MethodMark reports the watermark of the entry's configuration to an agent.
 	MethodMark = "config.mark"
-	// MethodRevoke withdraws an attempt that has not started.
+	// MethodRevoke cancels an attempt that has not started.
 	MethodRevoke = "revoke"
-	// MethodStatus carries an agent's status; it is the heartbeat too.
+	// MethodStatus carries an agent's status. It also serves as the heartbeat.
 	MethodStatus = "status"
 )
 
-// Protocol is the version of the messages.
+// Protocol is the version of the message protocol.
 const Protocol = 1
 
-// AnswerRequest asks for a kept answer.
+// AnswerRequest requests a cached response.
 type AnswerRequest struct {
 	Body  sandbarrow.Digest    `json:"body"`
 	Claim string               `json:"claim"`
 	ID    sandbarrow.RequestID `json:"id"`
 }
 
-// AttemptRequest asks an agent to run one attempt of a request.
+// AttemptRequest makes an agent run one attempt of a request.
 type AttemptRequest struct {
 	Attempt     sandbarrow.Attempt `json:"attempt"`
 	Body        []byte             `json:"body"`
 	ContentType string             `json:"content_type,omitempty"`
-	// DeadlineMS is what is left of the deadline, in milliseconds.
+	// DeadlineMS is the time left until the deadline, in milliseconds.
 	DeadlineMS int64 `json:"deadline_ms"`
-	// Fingerprint is that of what the request asks for, the same for its repeats; entries of
-	// an older build leave it out.
+	// Fingerprint identifies the contents of the request. Retries have the same one. Entries of
+	// an older build omit it.
 	Fingerprint *crash.Fingerprint `json:"fingerprint,omitempty"`
-	// Handle names the attempt on this connection.
+	// Handle identifies the attempt on this connection.
 	Handle      uint64                 `json:"handle"`
 	ID          sandbarrow.RequestID   `json:"id"`
 	Incarnation sandbarrow.Incarnation `json:"incarnation"`
 	Method      string                 `json:"method,omitempty"`
 	Model       sandbarrow.ModelRef    `json:"model"`
 	NoBatchWait bool                   `json:"no_batch_wait,omitempty"`
-	// OnceID is the identity of a once-only request; empty if repeatable.
+	// OnceID identifies an at-most-once request; it is empty for retryable requests.
 	OnceID   sandbarrow.RequestID `json:"once_id,omitempty"`
 	Path     string               `json:"path"`
 	Priority int                  `json:"priority"`
@@ -67,48 +67,48 @@
 	Weights  string               `json:"weights,omitempty"`
 }
 
-// Digest tells requests apart that use the same key.
+// Digest returns a digest that distinguishes requests with the same idempotency key.
 func (r *AttemptRequest) Digest() sandbarrow.Digest {
 	return sandbarrow.DigestOf(slices.Concat([]byte(r.Method+" "+r.Path+"\n"), r.Body))
 }
 
-// AttemptResult ends an attempt.
+// AttemptResult is the final message of an attempt.
 type AttemptResult struct {
 	Body []byte `json:"body,omitempty"`
-	// Claim is the record that stands when the reason is "claimed".
+	// Claim is the claim in effect when the reason is "claimed".
 	Claim       *sandbarrow.Claim `json:"claim,omitempty"`
 	ContentType string            `json:"content_type,omitempty"`
 	Detail      string            `json:"detail,omitempty"`
-	// Frames is the number of frames that were sent before.
+	// Frames is the number of frames sent before this result.
 	Frames int `json:"frames,omitempty"`
-	// Origin stands with the answer that was kept for repeats; agents of an older
-	// build leave it out.
+	// Origin is set in a response that was cached for retries. Agents of an older
+	// build omit it.
 	Origin  *Origin            `json:"origin,omitempty"`
 	Outcome sandbarrow.Outcome `json:"outcome"`
 	Reason  sandbarrow.Reason  `json:"reason,omitempty"`
-	// RetryAfterMS tells when to come back, in milliseconds.
+	// RetryAfterMS is the delay before a retry, in milliseconds.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 	Status       int   `json:"status,omitempty"`
 }
 
-// ConfigPull asks for what the asker lacks.
+// ConfigPull requests the configuration shards that the sender does not have.
 type ConfigPull struct {
 	Known []sandbarrow.Digest `json:"known"`
 }
 
-// ConfigReply is a snapshot without the shards that the asker knows.
+// ConfigReply is a snapshot without the shards that the requester already has.
 type ConfigReply struct {
 	Snapshot config.Snapshot `json:"snapshot"`
 }
 
-// Crashes are requests under which upstreams have ended.
+// Crashes lists requests under which upstreams crashed.
 type Crashes struct {
 	Records []crash.Record `json:"records"`
 }
 
-// Frame is a part of a streamed answer.
+// Frame is a part of a streamed response.
 type Frame struct {
-	// ContentType and Status stand in frame 0 alone.
+	// ContentType and Status are set in frame 0 only.
 	ContentType string `json:"t,omitempty"`
 	Data        []byte `json:"d"`
 	Handle      uint64 `json:"h"`
@@ -121,13 +121,13 @@
 	Box           sandbarrow.BoxID         `json:"box"`
 	Config        config.Mark              `json:"config"`
 	FailureDomain sandbarrow.FailureDomain `json:"failure_domain"`
-	// Lane says that this is a further connection of the same entry, which
-	// carries attempts alone.
+	// Lane is set on further connections of the same entry, which
+	// carry attempts only.
 	Lane     bool `json:"lane,omitempty"`
 	Protocol int  `json:"protocol"`
 }
 
-// HelloReply tells what stands behind an agent.
+// HelloReply describes an agent and its upstream.
 type HelloReply struct {
 	BaseModel     sandbarrow.BaseModelID   `json:"base_model,omitempty"`
 	Box           sandbarrow.BoxID         `json:"box"`
@@ -140,38 +140,38 @@
 	Upstream      sandbarrow.UpstreamID    `json:"upstream"`
 }
 
-// RevokeReply says whether a revoked attempt may have run.
+// RevokeReply reports whether a revoked attempt may have run.
 type RevokeReply struct {
-	// Outcome is not-run, or unknown when the attempt had started.
+	// Outcome is not-run, or unknown if the attempt had already started.
 	Outcome sandbarrow.Outcome `json:"outcome"`
 }
 
-// RevokeRequest withdraws an attempt.
+// RevokeRequest identifies an attempt to cancel.
 type RevokeRequest struct {
 	Attempt sandbarrow.Attempt   `json:"attempt"`
 	ID      sandbarrow.RequestID `json:"id"`
 }
 
-// Origin names what made an answer.
+// Origin identifies the model and the configuration revision that produced a response.
 type Origin struct {
 	// Model is zero for plain services.
 	Model    sandbarrow.ModelRef `json:"model"`
 	Revision sandbarrow.Revision `json:"revision"`
 }
 
-// Status is what an agent tells of itself.
+// Status is the state that an agent reports to entries.
 type Status struct {
 	Config   config.Mark `json:"config"`
 	Draining bool        `json:"draining,omitempty"`
 	// LoadMS is the expected time until a new adapter would be loaded.
 	LoadMS int64 `json:"load_ms,omitempty"`
 	Queued int   `json:"queued"`
-	// Resident lists loaded adapters; nil says that nothing changed.
+	// Resident lists the loaded adapters; nil means that the list is unchanged.
 	Resident []sandbarrow.ModelRef `json:"resident"`
 	Running  int                   `json:"running"`
 	// ServiceMS is the measured time of a run.
 	ServiceMS int64 `json:"service_ms,omitempty"`
-	// Unready says that the upstream does not answer.
+	// Unready is set when the upstream does not respond.
 	Unready bool `json:"unready,omitempty"`
 }
 
--- a/wire/notification.go
+++ b/wire/notification.go
@@ -5,57 +5,58 @@
 	"encoding/json"
 )
 
-// Notification is an encoded notification: a message of JSON-RPC 2.0 that wants no
-// answer. One that goes to many peers is encoded once.
+// Notification is an encoded JSON-RPC 2.0 notification, a message without a reply. A
+// notification to many peers is encoded only once.
 type Notification []byte
 
-// NewNotification encodes a notification; params is valid JSON.
+// NewNotification encodes a notification. params must be valid JSON.
 func NewNotification(method string, params json.RawMessage) Notification {
-	n := notificationHead(method)
+	n := notificationPrefix(method)
 	n = append(n, params...)
 	return append(n, '}')
 }
 
-// notificationHead is all of a notification before its parameters, in the order in which
-// the RPC library writes the fields too.
-func notificationHead(method string) []byte {
+// notificationPrefix returns the encoded notification up to its parameters. The fields have
+// the same order as in the RPC library's encoding.
+func notificationPrefix(method string) []byte {
 	name, err := json.Marshal(method)
 	if err != nil {
-		panic(err) // a string is always encoded
+		panic(err) // json.Marshal never fails for a string
 	}
 	return append(append([]byte(`{"jsonrpc":"2.0","method":`), name...), `,"params":`...)
 }
 
-// directMethod is a method whose notifications a Stream serves by itself.
+// directMethod is a method whose notifications a Stream serves without the RPC library.
 type directMethod struct {
-	head  []byte
-	serve func(params []byte) error
+	prefix []byte
+	serve  func(params []byte) error
 }
 
-// ServeDirectly makes the stream give the parameters of each notification of a method to
-// serve, in the order of the messages, in place of the connection that reads the stream.
-// It must be called before the first read. The parameters are valid only during the call.
+// ServeDirectly makes the stream call serve with the parameters of each notification of a
+// method, in message order. The RPC connection that reads the stream does not receive these
+// notifications. It must be called before the first read. The parameters are valid only
+// during the call.
 //
-// The RPC library decodes a message three times before its parameters are read: a status
-// of 82 bytes costs its reader 4.4 us directly and 21.5 us through the library
-// (BenchmarkNotification), and statuses are most of the messages.
+// The RPC library decodes a message three times before its parameters are decoded. Reading a
+// status of 82 bytes takes 4.4 us directly and 21.5 us through the library
+// (BenchmarkNotification), and most messages are statuses.
 func (s *Stream) ServeDirectly(method string, serve func(params []byte) error) {
-	s.direct = append(s.direct, directMethod{head: notificationHead(method), serve: serve})
+	s.direct = append(s.direct, directMethod{prefix: notificationPrefix(method), serve: serve})
 }
 
-// served gives the next message of n bytes to the method that is served directly, and
-// reports whether it has served it. A message in another order of fields, or with
-// parameters that serve refuses, goes to the library.
-func (s *Stream) served(n int) bool {
+// serveDirect passes the next message of n bytes to its directMethod, if any, and reports
+// whether the message was served. The RPC library receives messages with another field
+// order and those whose parameters serve rejects.
+func (s *Stream) serveDirect(n int) bool {
 	if len(s.direct) == 0 || n > s.reader.Size() {
 		return false
 	}
 	body, err := s.reader.Peek(n)
 	if err != nil {
-		return false // the caller's read ends the same way, and says how
+		return false // the caller's read fails in the same way and returns the error
 	}
 	for i := range s.direct {
-		rest, ok := bytes.CutPrefix(body, s.direct[i].head)
+		rest, ok := bytes.CutPrefix(body, s.direct[i].prefix)
 		if !ok {
 			continue
 		}
@@ -64,7 +65,7 @@
 			return false
 		}
 		_, err := s.reader.Discard(n)
-		return err == nil // what was peeked at is there
+		return err == nil // the peeked bytes are buffered
 	}
 	return false
 }
--- a/wire/notification_test.go
+++ b/wire/notification_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// pairOf returns two connected streams.
-func pairOf(t testing.TB) (a, b *Stream) {
+// connectedStreams returns two connected streams.
+func connectedStreams(t testing.TB) (a, b *Stream) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -33,7 +33,7 @@
 	N int `json:"n"`
 }
 
-func TestNotificationIsTheLibrarysMessage(t *testing.T) {
+func TestNotificationMatchesLibraryEncoding(t *testing.T) {
 	params := json.RawMessage(`{"n":7}`)
 	r := &jsonrpc2.Request{Method: "engine.status", Notif: true, Params: &params}
 	want, err := r.MarshalJSON()
@@ -41,8 +41,8 @@
 	assert.Equal(t, string(NewNotification("engine.status", params)), string(want))
 }
 
-func TestServeDirectly(t *testing.T) {
-	a, b := pairOf(t)
+func TestServeDirectlyKeepsMessageOrder(t *testing.T) {
+	a, b := connectedStreams(t)
 	got := make(chan int, 10)
 	b.ServeDirectly("direct", func(params []byte) error {
 		var v numbered
@@ -70,8 +70,8 @@
 	}
 }
 
-func TestRefusedDirectNotification(t *testing.T) {
-	a, b := pairOf(t)
+func TestRejectedDirectNotificationIsReadNormally(t *testing.T) {
+	a, b := connectedStreams(t)
 	b.ServeDirectly("direct", func(params []byte) error { return json.Unmarshal(params, new(numbered)) })
 	const message = `{"jsonrpc":"2.0","method":"direct","params":{"n":1},"more":2}`
 	assert.NilError(t, a.Send([]byte(message)))
@@ -92,7 +92,7 @@
 	message := NewNotification("engine.status", params)
 	for name, direct := range map[string]bool{"directly": true, "library": false} {
 		b.Run(name, func(b *testing.B) {
-			sender, reader := pairOf(b)
+			sender, reader := connectedStreams(b)
 			done := make(chan struct{}, b.N+1)
 			decode := func(params []byte) error {
 				var v struct {
--- a/wire/peerconfig.go
+++ b/wire/peerconfig.go
@@ -10,8 +10,8 @@
 	"sandbarrow.example/sandbarrow/config"
 )
 
-// PullConfig brings a follower to the peer's configuration if, by the peer's mark, that may
-// be newer. It is how a box that starts in an outage of the store catches up.
+// PullConfig updates a follower from the peer's configuration if the peer's watermark shows that
+// it may be newer. A box that starts during a store outage obtains its configuration this way.
 func PullConfig(ctx context.Context, rpc *jsonrpc2.Conn, f *config.Follower, peer config.Mark) error {
 	if !f.MayLack(peer) {
 		return nil
@@ -32,12 +32,12 @@
 	}
 	err := f.Offer(reply.Snapshot)
 	if errors.Is(err, config.ErrReverts) {
-		return nil // a newer one came by another way meanwhile
+		return nil // a newer configuration arrived from another source in the meantime
 	}
 	return err
 }
 
-// ReplyTo leaves out of a snapshot what the asker knows.
+// ReplyTo returns a snapshot without the shards that the requester already has.
 func ReplyTo(q ConfigPull, s config.Snapshot) ConfigReply {
 	known := make(map[sandbarrow.Digest]bool, len(q.Known))
 	for _, digest := range q.Known {
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -1,5 +1,5 @@
-// Package wire holds the protocol between entries and agents: JSON-RPC 2.0
-// messages in length-prefixed frames over one kept TCP connection per pair.
+// Package wire implements the protocol between entries and agents: JSON-RPC 2.0
+// messages in length-prefixed frames over persistent TCP connections.
 package wire
 
 import (
@@ -16,25 +16,25 @@
 const (
 	// MaxMessageBytes bounds one message in either direction.
 	MaxMessageBytes = 16 << 20
-	// maxPendingBytes is how much may wait for a slow peer before writers block.
+	// maxPendingBytes is how much may be pending for a slow peer before writers block.
 	maxPendingBytes = 4 << 20
-	// maxSpareBytes is the largest buffer that is kept for the next writes.
+	// maxSpareBytes is the largest buffer that is reused for later writes.
 	maxSpareBytes   = 256 << 10
 	lengthBytes     = 4
 	readBufferBytes = 16 << 10
 )
 
-// The errors of a Stream.
+// Errors of a Stream.
 const (
 	// ErrClosed means that the stream was closed on this side.
 	ErrClosed = errors.ConstError("wire: stream closed")
-	// ErrMalformed means that the peer sent what is no message.
+	// ErrMalformed means that the peer sent an invalid message.
 	ErrMalformed = errors.ConstError("wire: malformed message")
 )
 
-// Stream carries JSON objects over a connection. The first writer writes for
-// itself and for those that come meanwhile, so that a lone message goes out at
-// once and many small ones share a system call.
+// Stream carries JSON objects over a connection. The first writer also writes the
+// messages that other writers add in the meantime. A single message is sent
+// immediately, and many small ones share a system call.
 type Stream struct {
 	conn   net.Conn
 	direct []directMethod
@@ -48,20 +48,20 @@
 	writing bool
 }
 
-// NewStream returns a stream over a connection, which it then owns.
+// NewStream returns a stream over a connection and takes ownership of the connection.
 func NewStream(conn net.Conn) *Stream {
 	return NewStreamSize(conn, readBufferBytes)
 }
 
-// NewStreamSize returns a stream that reads into a buffer of so many bytes, for processes
-// that keep many connections.
+// NewStreamSize returns a stream with a read buffer of bufferBytes bytes, for processes
+// with many connections.
 func NewStreamSize(conn net.Conn, bufferBytes int) *Stream {
 	s := &Stream{conn: conn, reader: bufio.NewReaderSize(conn, bufferBytes)}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// Close closes the connection and drops what is pending.
+// Close closes the connection and drops pending messages.
 func (s *Stream) Close() error {
 	s.fail(ErrClosed)
 	return s.conn.Close()
@@ -74,7 +74,7 @@
 		if err != nil {
 			return err
 		}
-		if !s.served(n) {
+		if !s.serveDirect(n) {
 			return s.readBody(n, v)
 		}
 	}
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// WriteObject sends a message. It blocks while too much is pending. An error
-// means that nothing of the message was sent; a connection that breaks later
-// shows at its reader.
+// WriteObject sends a message. It blocks while too much is pending. An error means
+// that no part of the message was sent. If the connection fails later, only its
+// reader returns an error.
 func (s *Stream) WriteObject(v any) error {
 	body, err := marshal(v)
 	if err != nil {
@@ -116,10 +116,10 @@
 	return s.Send(body)
 }
 
-// Send sends an encoded message, as WriteObject does.
+// Send sends an encoded message in the same way as WriteObject.
 func (s *Stream) Send(body []byte) error {
 	if len(body) > MaxMessageBytes {
-		return errors.Errorf("wire: message of %d bytes is over %d", len(body), MaxMessageBytes)
+		return errors.Errorf("wire: message of %d bytes exceeds %d bytes", len(body), MaxMessageBytes)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// flush writes until nothing is pending. The caller holds mu.
+// flush writes until nothing is pending. The caller holds mu, which flush releases during writes.
 func (s *Stream) flush() {
 	s.writing = true
 	for s.err == nil && len(s.pending) > 0 {
@@ -158,8 +158,8 @@
 	s.writing = false
 }
 
-// marshal encodes v without the second pass that json.Marshal makes over what
-// a Marshaler returns.
+// marshal encodes v. It avoids the second pass that json.Marshal makes over the
+// output of a Marshaler.
 func marshal(v any) ([]byte, error) {
 	if m, ok := v.(json.Marshaler); ok {
 		return m.MarshalJSON()
@@ -167,7 +167,7 @@
 	return json.Marshal(v)
 }
 
-// unmarshal decodes into v without the first pass that json.Unmarshal makes
+// unmarshal decodes into v. It avoids the validation pass that json.Unmarshal makes
 // before it calls an Unmarshaler.
 func unmarshal(body []byte, v any) error {
 	if u, ok := v.(json.Unmarshaler); ok {
--- a/wire/stream_test.go
+++ b/wire/stream_test.go
@@ -13,29 +13,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// framed is a message as it goes over the connection.
+// framed returns a message in its encoding on the connection.
 func framed(body string) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
 func readFrom(raw []byte) (Frame, error) {
-	here, there := net.Pipe()
+	near, far := net.Pipe()
 	go func() {
-		_, _ = there.Write(raw)
-		_ = there.Close()
+		_, _ = far.Write(raw)
+		_ = far.Close()
 	}()
-	s := NewStream(here)
+	s := NewStream(near)
 	defer s.Close()
 	var f Frame
 	return f, s.ReadObject(&f)
 }
 
-func TestReadObject(t *testing.T) {
+func TestReadObjectRejectsMalformedMessages(t *testing.T) {
 	for name, tc := range map[string]struct {
 		raw  []byte
 		want error
 	}{
-		"whole":     {framed(`{"h":1,"n":2,"d":"aGk="}`), nil},
+		"complete":  {framed(`{"h":1,"n":2,"d":"aGk="}`), nil},
 		"cut":       {framed(`{"h":1}`)[:6], ErrMalformed},
 		"empty":     {framed(""), ErrMalformed},
 		"not JSON":  {framed("{"), ErrMalformed},
@@ -49,9 +49,9 @@
 	}
 }
 
-func TestConcurrentWritersKeepMessagesWhole(t *testing.T) {
-	here, there := net.Pipe()
-	out, in := NewStream(here), NewStream(there)
+func TestConcurrentWritersDoNotInterleaveMessages(t *testing.T) {
+	near, far := net.Pipe()
+	out, in := NewStream(near), NewStream(far)
 	const writers, each = 8, 50
 	var wg sync.WaitGroup
 	for w := range writers {
@@ -73,8 +73,8 @@
 }
 
 func TestCloseWakesBlockedWriters(t *testing.T) {
-	here, _ := net.Pipe() // nobody reads
-	s := NewStream(here)
+	near, _ := net.Pipe() // nobody reads the other end
+	s := NewStream(near)
 	done := make(chan error)
 	for range 2 {
 		go func() {
