--- a/agent/connection.go
+++ b/agent/connection.go
@@ -124,7 +124,7 @@
 	case wire.MethodHello:
 		return c.handleHello(ctx, r)
 	case wire.MethodMark:
-		var m config.Mark
+		var m config.Watermark
 		if err := wire.Decode(r, &m); err != nil {
 			return nil, err
 		}
@@ -185,7 +185,7 @@
 }
 
 // pullConfig fetches the entry's configuration if it is newer than the agent's.
-func (c *connection) pullConfig(ctx context.Context, m config.Mark) {
+func (c *connection) pullConfig(ctx context.Context, m config.Watermark) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	if err := wire.PullConfig(ctx, c.rpc, c.agent.follower, m); err != nil {
@@ -259,7 +259,7 @@
 func (a *Agent) status(c *connection) wire.Status {
 	st := a.scheduler.Stats(boottime.Now())
 	s := wire.Status{
-		Config:    a.follower.Mark(),
+		Config:    a.follower.Watermark(),
 		Draining:  a.draining || a.admissions.draining(),
 		LoadMS:    wire.Millis(st.LoadWait),
 		Queued:    st.Queued,
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -43,7 +43,7 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "sandbarrow_configuration_revision",
 			Help: "The configuration revision in force.",
-		}, func() float64 { return float64(a.follower.Mark().Revision) }),
+		}, func() float64 { return float64(a.follower.Watermark().Revision) }),
 	)
 	return m
 }
--- a/claim/calls_test.go
+++ b/claim/calls_test.go
@@ -18,10 +18,10 @@
 	} {
 		b.Run(name, func(b *testing.B) {
 			calls := 0
-			s := &storetest.Store{Below: store.NewMemory(), Next: func() storetest.Fault {
+			s := &storetest.Store{Inner: store.NewMemory(), Next: func() storetest.Fault {
 				calls++
 				if tc.lostEach > 0 && calls%tc.lostEach == 0 {
-					return storetest.Lost
+					return storetest.ReplyLost
 				}
 				return storetest.None
 			}}
--- a/claim/overtakenvoid_test.go
+++ b/claim/overtakenvoid_test.go
@@ -45,7 +45,7 @@
 	return func() storetest.Fault {
 		calls++
 		if calls >= first && calls <= last {
-			return storetest.Lost
+			return storetest.ReplyLost
 		}
 		return storetest.None
 	}
@@ -112,7 +112,7 @@
 	kv := store.NewMemory()
 	// The grant of the lease, a conflicting write and a read get replies. The replies to the
 	// write that takes effect and to all later calls are lost.
-	other := NewStore(&storetest.Store{Below: kv, Next: loseReplies(4, 1+2*maxWriteAttempts)})
+	other := NewStore(&storetest.Store{Inner: kv, Next: loseReplies(4, 1+2*maxWriteAttempts)})
 	voider, _ := overtakenVoid(t, kv, func() {
 		err := startAttempt(other, 4, "fourth")
 		assert.Assert(t, errors.Is(err, ErrStore), "%v", err)
--- a/claim/storeclaimer_test.go
+++ b/claim/storeclaimer_test.go
@@ -62,12 +62,12 @@
 func TestAbandonedClaimKeepsEarlierVoid(t *testing.T) {
 	ctx := context.Background()
 	fault := storetest.None
-	s := NewStore(&storetest.Store{Below: store.NewMemory(), Next: func() storetest.Fault { return fault }})
+	s := NewStore(&storetest.Store{Inner: store.NewMemory(), Next: func() storetest.Fault { return fault }})
 	_, err := s.Void(ctx, id, sandbarrow.Claim{Attempt: 1, Token: "void"})
 	assert.NilError(t, err)
 	second := sandbarrow.Claim{Attempt: 2, Token: "second"}
 	assert.NilError(t, s.Start(ctx, id, second))
-	fault = storetest.Down
+	fault = storetest.Unavailable
 	assert.Assert(t, s.Release(ctx, id, second) != nil)
 	fault = storetest.None
 	err = s.Start(ctx, id, sandbarrow.Claim{Attempt: 1, Token: "late"})
@@ -82,7 +82,7 @@
 		kv := store.NewMemory()
 		faults := rapid.SliceOfN(rapid.IntRange(0, 5), 40, 40).Draw(rt, "faults")
 		calls := 0
-		faulty := &storetest.Store{Below: kv, Next: func() storetest.Fault {
+		faulty := &storetest.Store{Inner: kv, Next: func() storetest.Fault {
 			calls++
 			return storetest.Fault(faults[calls%len(faults)] % 4)
 		}}
@@ -192,7 +192,7 @@
 // CompareAndSwap forwards the call and records whether its reply will be lost.
 func (w *lostReplyDetector) CompareAndSwap(ctx context.Context, key string, previous sandbarrow.StoreRevision, value []byte, lease sandbarrow.LeaseID) (sandbarrow.StoreRevision, error) {
 	revision, err := w.Store.CompareAndSwap(ctx, key, previous, value, lease)
-	if err == nil && w.fault == storetest.Lost {
+	if err == nil && w.fault == storetest.ReplyLost {
 		w.replyLost = true
 	}
 	return revision, err
@@ -200,7 +200,7 @@
 
 // withFaults returns the store with the faults that next returns.
 func (w *lostReplyDetector) withFaults(next func() storetest.Fault) *storetest.Store {
-	return &storetest.Store{Below: w, Next: func() storetest.Fault {
+	return &storetest.Store{Inner: w, Next: func() storetest.Fault {
 		w.fault = next()
 		return w.fault
 	}}
@@ -219,7 +219,7 @@
 				w := &lostReplyDetector{Store: kv}
 				s := NewStore(w.withFaults(func() storetest.Fault {
 					if r.IntN(4) == 0 {
-						return storetest.Lost
+						return storetest.ReplyLost
 					}
 					return storetest.None
 				}))
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -87,7 +87,7 @@
 		kv := store.NewMemory()
 		faults := rapid.SliceOfN(rapid.IntRange(0, 7), 30, 30).Draw(rt, "faults")
 		calls := 0
-		faulty := &storetest.Store{Below: kv, Next: func() storetest.Fault {
+		faulty := &storetest.Store{Inner: kv, Next: func() storetest.Fault {
 			calls++
 			return storetest.Fault(faults[calls%len(faults)] % 6 % 4)
 		}}
@@ -110,7 +110,7 @@
 				assert.Equal(rt, after.Revision, before.Revision, "%s", result)
 			case ApplyUnknown:
 			}
-			mark := f.Mark()
+			mark := f.Watermark()
 			if after.Revision > 0 && rapid.Bool().Draw(rt, "follow") {
 				s, err := ReadSnapshot(ctx, kv, after, nil)
 				assert.NilError(rt, err)
@@ -118,7 +118,7 @@
 			}
 			old := Snapshot{Head: before}
 			_ = f.Offer(old)
-			assert.Assert(rt, f.Mark().Revision >= mark.Revision, "went back")
+			assert.Assert(rt, f.Watermark().Revision >= mark.Revision, "went back")
 		}
 	})
 }
@@ -141,7 +141,7 @@
 	assert.NilError(t, f.Offer(first))
 	assert.Assert(t, errors.Is(f.Offer(other), ErrReverts), "same revision, other digest")
 	assert.Assert(t, errors.Is(f.Offer(broken), ErrInvalid))
-	assert.Equal(t, f.Mark().Revision, sandbarrow.Revision(5))
+	assert.Equal(t, f.Watermark().Revision, sandbarrow.Revision(5))
 }
 
 func FuzzParse(f *testing.F) {
@@ -221,7 +221,7 @@
 		s.Head.Revision = sandbarrow.Revision(i + 1)
 		assert.NilError(t, f.Offer(s))
 	}
-	assert.Equal(t, f.Mark().Revision, sandbarrow.Revision(2))
+	assert.Equal(t, f.Watermark().Revision, sandbarrow.Revision(2))
 }
 
 func TestVersionsNotCompared(t *testing.T) {
--- a/config/follower.go
+++ b/config/follower.go
@@ -32,7 +32,7 @@
 	mu      sync.Mutex
 	changed chan struct{}
 	// refused is the mark of the last configuration refused with ErrReverts.
-	refused  Mark
+	refused  Watermark
 	snapshot Snapshot
 }
 
@@ -48,17 +48,17 @@
 	return f.changed
 }
 
-// Mark names the configuration in force; it is zero before the first.
-func (f *Follower) Mark() Mark {
+// Watermark names the configuration in force; it is zero before the first.
+func (f *Follower) Watermark() Watermark {
 	v := f.view.Load()
 	if v == nil {
-		return Mark{}
+		return Watermark{}
 	}
-	return Mark{Digest: v.Digest, Era: v.Era, Revision: v.Revision}
+	return Watermark{Digest: v.Digest, Era: v.Era, Revision: v.Revision}
 }
 
 // MayLack reports whether the peer's configuration may be newer than the one in force.
-func (f *Follower) MayLack(peer Mark) bool {
+func (f *Follower) MayLack(peer Watermark) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return peer != f.refused && peer.maySupersede(f.snapshot.mark())
--- a/config/follows.go
+++ b/config/follows.go
@@ -33,8 +33,8 @@
 	return c.Revision < oldest && len(h.History) >= historyLength
 }
 
-// Mark identifies a configuration; peers exchange it in place of the whole one.
-type Mark struct {
+// Watermark identifies a configuration; peers exchange it in place of the whole one.
+type Watermark struct {
 	Digest sandbarrow.Digest `json:"digest"`
 	// Era is the store's era when the configuration was read.
 	Era      sandbarrow.StoreEra `json:"era,omitempty"`
@@ -43,7 +43,7 @@
 
 // maySupersede reports whether the configuration of a mark may replace that of another one. Across eras
 // only supersedes, which needs both heads, decides.
-func (m Mark) maySupersede(other Mark) bool {
+func (m Watermark) maySupersede(other Watermark) bool {
 	if m.Era == other.Era {
 		return m.Revision > other.Revision
 	}
--- a/config/shards.go
+++ b/config/shards.go
@@ -47,8 +47,8 @@
 	Shards map[sandbarrow.Digest][]byte `json:"shards"`
 }
 
-func (s *Snapshot) mark() Mark {
-	return Mark{Digest: s.Head.Digest, Era: s.Era, Revision: s.Head.Revision}
+func (s *Snapshot) mark() Watermark {
+	return Watermark{Digest: s.Head.Digest, Era: s.Era, Revision: s.Head.Revision}
 }
 
 func shardKey(d sandbarrow.Digest) string {
--- a/config/silent_test.go
+++ b/config/silent_test.go
@@ -58,7 +58,7 @@
 	}
 	known := func(revision uint64) (n int) {
 		for _, f := range followers {
-			if uint64(f.Mark().Revision) >= revision {
+			if uint64(f.Watermark().Revision) >= revision {
 				n++
 			}
 		}
--- a/config/storereturn_test.go
+++ b/config/storereturn_test.go
@@ -73,7 +73,7 @@
 	inForce := func(f *Follower, n int) bool {
 		s, err := split(document(n))
 		assert.NilError(t, err)
-		return f.Mark().Digest == s.Head.Digest
+		return f.Watermark().Digest == s.Head.Digest
 	}
 	f := start()
 	apply(1)
@@ -87,9 +87,9 @@
 	fresh := start()
 	await.Until(t, 2*time.Second, "the restored copy at a new follower", func() bool { return inForce(fresh, 1) })
 	assert.Assert(t, inForce(f, 3), "the restored copy replaced the third configuration")
-	assert.Assert(t, fresh.MayLack(f.Mark()) && fresh.Offer(f.Snapshot()) == nil)
+	assert.Assert(t, fresh.MayLack(f.Watermark()) && fresh.Offer(f.Snapshot()) == nil)
 	assert.Assert(t, inForce(fresh, 3), "not learned from the peer")
 	apply(4)
 	await.Until(t, 2*time.Second, "a change after the restore", func() bool { return inForce(f, 4) && inForce(fresh, 4) })
-	assert.Equal(t, f.Mark().Revision, sandbarrow.Revision(2), "the revision is assigned a second time")
+	assert.Equal(t, f.Watermark().Revision, sandbarrow.Revision(2), "the revision is assigned a second time")
 }
--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -20,7 +20,7 @@
 // for the load to begin; once the adapter is loading or loaded, a while longer.
 func (l *link) acquire(q *enginelink.Acquire, a *acquireCall) enginelink.Grant {
 	c := l.controller
-	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, stretches: q.Stretches, tokens: q.Tokens}
+	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, stretches: q.PromptPrefixes, tokens: q.Tokens}
 	w, refusal := l.enqueue(q, p, a)
 	if w == nil {
 		c.metrics.refused(refusal.Refused)
@@ -30,7 +30,7 @@
 		return l.granted(q, p, g, a)
 	}
 	if l.comesSoon(p) {
-		if g, ok := l.waitForGrant(w, enginelink.LoadPatience); ok {
+		if g, ok := l.waitForGrant(w, enginelink.ExtraLoadWait); ok {
 			return l.granted(q, p, g, a)
 		}
 	}
@@ -43,14 +43,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.left {
-		return nil, enginelink.Grant{Refused: enginelink.RefuseLeft}
+		return nil, enginelink.Grant{Refused: enginelink.RefuseCanceled}
 	}
 	if refusal, refused := c.refuseAtOnce(q); refused {
 		delete(l.calls, q.ID)
 		return nil, refusal
 	}
 	// A gateway that lags must not get a version that is known to be old.
-	q.Version = max(q.Version, c.estate.View().LeastVersion(p.key))
+	q.Version = max(q.Version, c.estate.View().MinVersion(p.key))
 	w := c.slots.acquire(c.now(), q, p)
 	a.request = w
 	if !p.granted {
@@ -81,8 +81,8 @@
 		// gateway's next attempt would take a retry from its budget.
 		return enginelink.Grant{Refused: enginelink.RefuseInstance}, true
 	}
-	if q.MostWaiting > 0 {
-		if waiting := c.slots.waiting(); waiting.Ahead(q.Priority) > q.MostWaiting {
+	if q.MaxWaitingTokens > 0 {
+		if waiting := c.slots.waiting(); waiting.Ahead(q.Priority) > q.MaxWaitingTokens {
 			return enginelink.Grant{Refused: enginelink.RefuseBusy, Waiting: waiting.Total(), WaitingByPriority: &waiting}, true
 		}
 	}
@@ -130,7 +130,7 @@
 	delete(l.calls, q.ID)
 	if a.left {
 		c.slots.unpin(c.now(), p)
-		g.Refused = enginelink.RefuseLeft
+		g.Refused = enginelink.RefuseCanceled
 	}
 	if g.Refused != "" {
 		c.metrics.refused(g.Refused)
@@ -160,8 +160,8 @@
 	default:
 	}
 	c.slots.cancel(c.now(), w)
-	c.metrics.refused(enginelink.RefuseSlots)
-	return enginelink.Grant{Refused: enginelink.RefuseSlots}
+	c.metrics.refused(enginelink.RefuseNoSlot)
+	return enginelink.Grant{Refused: enginelink.RefuseNoSlot}
 }
 
 // keepPin keeps a granted pin with its link, or ends it where the link has ended
@@ -205,7 +205,7 @@
 		p = c.orphans[id]
 	}
 	switch {
-	case p == nil && method == enginelink.MethodDone && l.calls[id] != nil:
+	case p == nil && method == enginelink.MethodUnpin && l.calls[id] != nil:
 		c.leave(l.calls[id])
 		delete(l.calls, id)
 		return
@@ -216,9 +216,9 @@
 			c.logger.Info("read window closed", "request", string(id), "tokens", size)
 		}
 		return
-	case method == enginelink.MethodBegun:
+	case method == enginelink.MethodResponseStarted:
 		c.slots.begun(now, p)
-	case method == enginelink.MethodDone:
+	case method == enginelink.MethodUnpin:
 		delete(l.pins, id)
 		if o := c.orphans[id]; o != nil && o != p {
 			c.slots.unpin(now, o) // of a link that ended here after this one was there
--- a/controller/acquirecall.go
+++ b/controller/acquirecall.go
@@ -21,7 +21,7 @@
 	}
 	c.slots.cancel(c.now(), a.request)
 	select {
-	case a.request.grant <- enginelink.Grant{Refused: enginelink.RefuseLeft}:
+	case a.request.grant <- enginelink.Grant{Refused: enginelink.RefuseCanceled}:
 	default: // it was granted, and the one who takes the grant sees that the gateway left
 	}
 	c.published.announce()
--- a/controller/acquirecall_test.go
+++ b/controller/acquirecall_test.go
@@ -30,7 +30,7 @@
 	eventually(t, func() bool { return pending() == 1 })
 	leave()
 	<-ended
-	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: "1"}))
+	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodUnpin, enginelink.Pin{ID: "1"}))
 	eventually(t, func() bool { return pending() == 0 })
 	step(t, c)
 	step(t, c)
@@ -53,8 +53,8 @@
 	a.request = c.slots.acquire(c.now(), q, p)
 	c.mu.Unlock()
 	g := <-a.request.grant
-	l.applyProgress(q.ID, enginelink.MethodDone)
-	assert.Equal(t, l.granted(q, p, g, a).Refused, enginelink.RefuseLeft)
+	l.applyProgress(q.ID, enginelink.MethodUnpin)
+	assert.Equal(t, l.granted(q, p, g, a).Refused, enginelink.RefuseCanceled)
 	assert.Equal(t, c.usesOf("a"), 0)
 	assert.Equal(t, len(l.pins), 0)
 }
@@ -96,7 +96,7 @@
 	rpc := linkTo(t.Context(), c, nil)
 	s := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	var read enginelink.Grant
-	ask := enginelink.Acquire{Adapter: "a", ID: "read", Model: testModel, Stretches: s, Tokens: 3600, WaitMS: 100}
+	ask := enginelink.Acquire{Adapter: "a", ID: "read", Model: testModel, PromptPrefixes: s, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &read))
 	assert.Equal(t, read.Refused, enginelink.RefuseReason(""))
 
@@ -116,8 +116,8 @@
 	assert.NilError(t, <-done)
 	assert.Equal(t, waiting.Refused, enginelink.RefuseInstance)
 
-	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodBegun, enginelink.Pin{ID: "read"}))
-	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: "read"}))
+	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodResponseStarted, enginelink.Pin{ID: "read"}))
+	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodUnpin, enginelink.Pin{ID: "read"}))
 	eventually(t, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 	step(t, c)
 	c.mu.Lock()
 	p := &pin{key: sandbarrow.AdapterKey{Model: testModel}, stretches: promptcache.PromptPrefixes(key(""), "ab:3000,ef:100"), tokens: 3100}
-	c.slots.acquire(c.now(), &enginelink.Acquire{UsefulMS: 1000}, p)
+	c.slots.acquire(c.now(), &enginelink.Acquire{SlackMS: 1000}, p)
 	c.mu.Unlock()
 	assert.Assert(t, p.granted)
 	f.restart()
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -74,7 +74,7 @@
 	// leader is nil where no shards are led.
 	leader *leader.Leader
 	// limits grants sends to upstreams that name a limit, of whatever service.
-	limits  *enginelink.SendKeeper
+	limits  *enginelink.SendCoordinator
 	logger  *slog.Logger
 	metrics *metrics
 	now     func() time.Time
@@ -109,7 +109,7 @@
 func New(c Config) *Controller {
 	e := estate.New(c.Documents, c.Logger)
 	k := &Controller{
-		box: c.Box, control: c.Control, crashes: crash.NewLog(boottime.Now), engine: c.Engine, estate: e, limits: enginelink.NewSendKeeper(1), links: map[*link]bool{}, orphans: map[sandbarrow.RequestID]*pin{}, logger: c.Logger,
+		box: c.Box, control: c.Control, crashes: crash.NewLog(boottime.Now), engine: c.Engine, estate: e, limits: enginelink.NewSendCoordinator(1), links: map[*link]bool{}, orphans: map[sandbarrow.RequestID]*pin{}, logger: c.Logger,
 		metrics: newMetrics(c.Metrics), now: boottime.Now, published: newPublisher(), service: c.Service, slots: newSlots(evict.NewCost()), store: c.Store,
 		wake: make(chan struct{}, 1),
 		watch: prefixwatch.Watch{
@@ -129,7 +129,7 @@
 
 // shardsLed is how many quota shards this process leads.
 func (c *Controller) shardsLed() float64 {
-	leads, _ := c.leader.Leads()
+	leads, _ := c.leader.LedShards()
 	return float64(len(leads.Terms))
 }
 
@@ -146,7 +146,7 @@
 	if c.watchedByGateways() {
 		return 0
 	}
-	return enginelink.WatchLead
+	return enginelink.StoreWatchGrace
 }
 
 // loadTook counts a load and the time that it took.
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -122,7 +122,7 @@
 	f.restart()
 	step(t, c) // notices the restart, loads the base model: sequence 1 again
 	c.mu.Lock()
-	c.slots.refuseAll(c.now(), enginelink.RefuseSlots)
+	c.slots.refuseAll(c.now(), enginelink.RefuseNoSlot)
 	c.mu.Unlock()
 	f.carryOutLate()
 	assert.Equal(t, len(f.loaded), 0, "a late order of the time before the restart was carried out")
@@ -208,7 +208,7 @@
 	s.capacity = 1
 	now := time.Now()
 	add := func(adapter string, priority int, usefulMS int64) {
-		s.acquire(now, &enginelink.Acquire{Priority: priority, UsefulMS: usefulMS}, &pin{key: key(adapter)})
+		s.acquire(now, &enginelink.Acquire{Priority: priority, SlackMS: usefulMS}, &pin{key: key(adapter)})
 	}
 	add("late", 0, -1)
 	add("low", 2, 500)
@@ -245,7 +245,7 @@
 	}
 	_, held := f.loaded[key("new")]
 	assert.Assert(t, held)
-	l.applyProgress("0", enginelink.MethodDone)
+	l.applyProgress("0", enginelink.MethodUnpin)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	assert.Equal(t, c.slots.pins[key("old0")], 0)
--- a/controller/frozen_test.go
+++ b/controller/frozen_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(relinkTime + pinReportTime)
 	step(t, c)
 	c.mu.Lock()
-	c.now = func() time.Time { return boottime.Now().Add(enginelink.HeartbeatTimeout + enginelink.Heartbeat) } // as by SIGSTOP
+	c.now = func() time.Time { return boottime.Now().Add(enginelink.HeartbeatTimeout + enginelink.HeartbeatInterval) } // as by SIGSTOP
 	c.mu.Unlock()
 	_, err := link.DispatchCall(t.Context(), enginelink.MethodAcquire, enginelink.Acquire{Adapter: "new", ID: "1", Model: testModel, WaitMS: 3000})
 	assert.NilError(t, err)
--- a/controller/gatewaylink.go
+++ b/controller/gatewaylink.go
@@ -69,7 +69,7 @@
 	c.unreported.linked(c.now(), len(c.links))
 	c.published.announce()
 	c.mu.Unlock()
-	go enginelink.AnnounceMarks(ctx, l.rpc, c.estate)
+	go enginelink.PublishWatermarks(ctx, l.rpc, c.estate)
 	go l.sendStatuses(ctx)
 	go l.tellCrashes(ctx)
 	go l.tellLimits(ctx)
@@ -126,21 +126,21 @@
 			c.relay(l, *r.Params)
 		}
 		return nil, nil
-	case enginelink.MethodMark:
-		var m enginelink.Mark
+	case enginelink.MethodWatermark:
+		var m enginelink.Watermark
 		if err := wire.Decode(r, &m); err != nil {
 			return nil, err
 		}
-		go enginelink.FollowMark(l.ctx, l.rpc, c.estate, m, c.watchLead())
+		go enginelink.FollowWatermark(l.ctx, l.rpc, c.estate, m, c.watchLead())
 		return nil, nil
-	case enginelink.MethodUsing:
+	case enginelink.MethodPinned:
 		var q enginelink.Acquire
 		if err := wire.Decode(r, &q); err != nil {
 			return nil, err
 		}
 		l.adopt(&q)
 		return nil, nil
-	case enginelink.MethodBegun, enginelink.MethodDone, enginelink.MethodPaused:
+	case enginelink.MethodResponseStarted, enginelink.MethodUnpin, enginelink.MethodPaused:
 		var p enginelink.Pin
 		if err := wire.Decode(r, &p); err != nil {
 			return nil, err
@@ -175,12 +175,12 @@
 		}
 		lead.Nominate(q)
 		return nil, nil
-	case r.Method == enginelink.MethodTake:
-		var q enginelink.Take
+	case r.Method == enginelink.MethodAcquireQuota:
+		var q enginelink.AcquireQuota
 		if err := wire.Decode(r, &q); err != nil {
 			return nil, err
 		}
-		return lead.Take(&q), nil
+		return lead.AcquireQuota(&q), nil
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
@@ -242,8 +242,8 @@
 // announceLeads sends which quota shards this process leads, whenever that changes.
 func (l *link) announceLeads(ctx context.Context) {
 	for ctx.Err() == nil {
-		leads, changed := l.controller.leader.Leads()
-		if err := l.rpc.Notify(ctx, enginelink.MethodLeads, leads); err != nil {
+		leads, changed := l.controller.leader.LedShards()
+		if err := l.rpc.Notify(ctx, enginelink.MethodLedShards, leads); err != nil {
 			return
 		}
 		select {
@@ -290,12 +290,12 @@
 	c := l.controller
 	c.mu.Lock()
 	changes, all, next := c.slots.kept.Changes(after)
-	message := enginelink.Kept{All: all, Changes: slices.Clone(changes)}
+	message := enginelink.CachedPrompts{Complete: all, Changes: slices.Clone(changes)}
 	c.mu.Unlock()
 	if len(changes) == 0 && !all {
 		return next
 	}
-	if l.rpc.Notify(ctx, enginelink.MethodKept, message) != nil {
+	if l.rpc.Notify(ctx, enginelink.MethodCachedPrompts, message) != nil {
 		return 0
 	}
 	return next
--- a/controller/kept_test.go
+++ b/controller/kept_test.go
@@ -22,16 +22,16 @@
 }
 
 func (v *keptView) follow(r *jsonrpc2.Request) {
-	if r.Method != enginelink.MethodKept {
+	if r.Method != enginelink.MethodCachedPrompts {
 		return
 	}
-	var k enginelink.Kept
+	var k enginelink.CachedPrompts
 	if json.Unmarshal(*r.Params, &k) != nil {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.mirror.Apply(k.Changes, k.All)
+	v.mirror.Apply(k.Changes, k.Complete)
 }
 
 func (v *keptView) kept(w sandbarrow.WeightsVersion, s []promptcache.PromptPrefix) int {
@@ -53,15 +53,15 @@
 	s := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,ef:100")
 	other := promptcache.PromptPrefixes(key("a"), "ab:3000,cd:500,09:100")
 	var g enginelink.Grant
-	ask := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, Stretches: s, Tokens: 3600, WaitMS: 100}
+	ask := enginelink.Acquire{Adapter: "a", ID: "1", Model: testModel, PromptPrefixes: s, Tokens: 3600, WaitMS: 100}
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
 	assert.Equal(t, first.kept(runs, other), 0, "it has not been read")
-	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodBegun, enginelink.Pin{ID: "1"}))
+	assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodResponseStarted, enginelink.Pin{ID: "1"}))
 	eventually(t, func() bool { return first.kept(runs, other) == 3500 })
 	linkTo(t.Context(), c, later.follow)
 	eventually(t, func() bool { return later.kept(runs, other) == 3500 })
 
-	ask.ID, ask.Stretches = "2", other
+	ask.ID, ask.PromptPrefixes = "2", other
 	assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
 	c.mu.Lock()
 	waiting := c.slots.waiting()
@@ -100,10 +100,10 @@
 	}
 	read := func(id sandbarrow.RequestID) enginelink.Grant {
 		var g enginelink.Grant
-		ask := enginelink.Acquire{Adapter: "a", ID: id, Model: testModel, Stretches: s, Tokens: 3600, Version: 1, WaitMS: 100}
+		ask := enginelink.Acquire{Adapter: "a", ID: id, Model: testModel, PromptPrefixes: s, Tokens: 3600, Version: 1, WaitMS: 100}
 		assert.NilError(t, rpc.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
-		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodBegun, enginelink.Pin{ID: id}))
-		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: id}))
+		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodResponseStarted, enginelink.Pin{ID: id}))
+		assert.NilError(t, rpc.Notify(t.Context(), enginelink.MethodUnpin, enginelink.Pin{ID: id}))
 		eventually(t, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
--- a/controller/loadwindow.go
+++ b/controller/loadwindow.go
@@ -44,7 +44,7 @@
 // took counts a load from the weight store and how long it took.
 func (w *loadWindow) took(d time.Duration) {
 	w.seen.Count++
-	w.seen.TookMS = d.Milliseconds()
+	w.seen.LastLoadMS = d.Milliseconds()
 	if w.fastest == 0 || d < w.fastest {
 		w.fastest = d
 	}
--- a/controller/loadwindow_test.go
+++ b/controller/loadwindow_test.go
@@ -38,7 +38,7 @@
 		s.countLoad(&slot{}, 265*time.Millisecond)
 	}
 	assert.Equal(t, s.window.size(), maxLoading)
-	assert.Equal(t, s.window.seen, enginelink.Loads{Count: 40, TookMS: 265})
+	assert.Equal(t, s.window.seen, enginelink.Loads{Count: 40, LastLoadMS: 265})
 }
 
 func TestCrowdedLoadsComeByValue(t *testing.T) {
@@ -49,7 +49,7 @@
 	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel}}, nil) // known left its slot
 	want := func(adapter string, requests int) {
 		for range requests {
-			s.acquire(now, &enginelink.Acquire{UsefulMS: 1000}, &pin{key: key(adapter)})
+			s.acquire(now, &enginelink.Acquire{SlackMS: 1000}, &pin{key: key(adapter)})
 		}
 	}
 	order := func() sandbarrow.AdapterID {
@@ -75,7 +75,7 @@
 	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel, Adapters: []sandbarrow.LoadedAdapter{{Adapter: "known", Version: 1}}}}, nil)
 	s.reconcile(now, []sandbarrow.LoadedModel{{Model: testModel}}, nil) // known left its slot
 	load := func(adapter string, v sandbarrow.AdapterVersion) bool {
-		s.acquire(now, &enginelink.Acquire{UsefulMS: 1000, Version: v}, &pin{key: key(adapter)})
+		s.acquire(now, &enginelink.Acquire{SlackMS: 1000, Version: v}, &pin{key: key(adapter)})
 		o, ok := s.nextOrder(now, true)
 		if ok {
 			s.applyOrder(now, &o, false)
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -179,7 +179,7 @@
 		o, ok = c.slots.nextOrder(now, !c.unreported.possible(now))
 	}
 	if o.Load && o.Adapter != "" {
-		o.Version = max(o.Version, c.estate.View().LeastVersion(sandbarrow.AdapterKey{Adapter: o.Adapter, Model: o.Model}))
+		o.Version = max(o.Version, c.estate.View().MinVersion(sandbarrow.AdapterKey{Adapter: o.Adapter, Model: o.Model}))
 	}
 	o.Expected, o.Holder, o.Instance, o.Token = sequence, c.box, c.instance, c.token
 	return o, ok
--- a/controller/orphan_test.go
+++ b/controller/orphan_test.go
@@ -59,7 +59,7 @@
 	eventually(t, func() bool { return c.linked() == 0 })
 	assert.Equal(t, c.usesOf("a"), 1, "the request may run still")
 	second := linkTo(t.Context(), c, nil)
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, ask))
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodPinned, ask))
 	time.Sleep(orphanGrace + 100*time.Millisecond)
 	assert.Equal(t, c.usesOf("a"), 1, "its gateway has linked anew")
 	assert.NilError(t, second.Close())
@@ -112,11 +112,11 @@
 	var g enginelink.Grant
 	assert.NilError(t, first.Call(t.Context(), enginelink.MethodAcquire, ask, &g))
 	second := linkTo(t.Context(), c, nil) // the gateway has given the first one up, which is still open here
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUsing, ask))
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodPinned, ask))
 	eventually(t, func() bool { return c.usesOf("a") == 2 })
 	assert.NilError(t, first.Close())
 	eventually(t, func() bool { return c.linked() == 1 })
-	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodDone, enginelink.Pin{ID: "1"}))
+	assert.NilError(t, second.Notify(t.Context(), enginelink.MethodUnpin, enginelink.Pin{ID: "1"}))
 	time.Sleep(orphanGrace + 200*time.Millisecond)
 	assert.Equal(t, c.usesOf("a"), 0, "the request has ended")
 }
--- a/controller/publisher.go
+++ b/controller/publisher.go
@@ -53,7 +53,7 @@
 // apply replaces the status and reports whether the links are to send it: because it
 // differs from the last, or because a heartbeat is due.
 func (p *publisher) apply(now time.Time, s enginelink.Status) bool {
-	if p.holds > 0 && now.Sub(p.at) < enginelink.Heartbeat-publishPause && reflect.DeepEqual(s, p.last) {
+	if p.holds > 0 && now.Sub(p.at) < enginelink.HeartbeatInterval-publishPause && reflect.DeepEqual(s, p.last) {
 		return false
 	}
 	if p.holds == 0 || !slices.Equal(s.Slots, p.last.Slots) || !s.SameModels(&p.last) || s.Speed != p.last.Speed || s.Loads != p.last.Loads {
@@ -108,7 +108,7 @@
 // many there are, a heartbeat comes in time: at 300 gateways statuses that are spread
 // without a bound would come as late as a link counts as lost.
 func publishEvery(gateways int) time.Duration {
-	return min(enginelink.Heartbeat, max(publishPause, time.Duration(gateways)*publishShare))
+	return min(enginelink.HeartbeatInterval, max(publishPause, time.Duration(gateways)*publishShare))
 }
 
 // publishLoop encodes the status when it may have changed, and at each
@@ -118,7 +118,7 @@
 		pause.For(ctx, c.publishNow())
 		select {
 		case <-c.published.changed:
-		case <-time.After(enginelink.Heartbeat - publishPause):
+		case <-time.After(enginelink.HeartbeatInterval - publishPause):
 		case <-ctx.Done():
 		}
 	}
--- a/controller/publisher_test.go
+++ b/controller/publisher_test.go
@@ -21,7 +21,7 @@
 	assert.Assert(t, p.apply(now, enginelink.Status{Free: 1}))
 	assert.Assert(t, !p.apply(now.Add(publishPause), enginelink.Status{Free: 1}))
 	assert.Assert(t, p.apply(now.Add(publishPause), enginelink.Status{Free: 2}))
-	assert.Assert(t, p.apply(now.Add(publishPause+enginelink.Heartbeat), enginelink.Status{Free: 2}))
+	assert.Assert(t, p.apply(now.Add(publishPause+enginelink.HeartbeatInterval), enginelink.Status{Free: 2}))
 }
 
 func TestStatusesOfManyGatewaysAreBounded(t *testing.T) {
@@ -82,6 +82,6 @@
 // However many gateways are linked, statuses come as often as heartbeats must.
 func TestManyGatewaysGetHeartbeatsInTime(t *testing.T) {
 	for _, gateways := range []int{1, 100, 300, 4000} {
-		assert.Assert(t, publishEvery(gateways)+enginelink.Heartbeat < enginelink.HeartbeatTimeout, "%d gateways", gateways)
+		assert.Assert(t, publishEvery(gateways)+enginelink.HeartbeatInterval < enginelink.HeartbeatTimeout, "%d gateways", gateways)
 	}
 }
--- a/controller/readwindow_test.go
+++ b/controller/readwindow_test.go
@@ -58,7 +58,7 @@
 	step(t, c)
 	c.slots.toRead.window.closed = mostReadTokens - 5_000
 	ask := func() *pendingRequest {
-		return c.slots.acquire(now, &enginelink.Acquire{UsefulMS: 800}, &pin{key: key("a"), tokens: 4_000})
+		return c.slots.acquire(now, &enginelink.Acquire{SlackMS: 800}, &pin{key: key("a"), tokens: 4_000})
 	}
 	silent, other := ask(), ask()
 	step(t, c)
@@ -75,7 +75,7 @@
 	s.markLoaded(now, key("a"), 1)
 	s.toRead.window.closed = mostReadTokens - 10_000
 	ask := func(priority, tokens int) *pendingRequest {
-		return s.acquire(now, &enginelink.Acquire{Priority: priority, UsefulMS: 800}, &pin{key: key("a"), priority: priority, tokens: tokens})
+		return s.acquire(now, &enginelink.Acquire{Priority: priority, SlackMS: 800}, &pin{key: key("a"), priority: priority, tokens: tokens})
 	}
 	granted := func(w *pendingRequest) bool { return len(w.grant) == 1 }
 	long, second := ask(1, 30_000), ask(1, 4_000)
@@ -86,7 +86,7 @@
 	assert.Equal(t, waiting.Total(), 42_000)
 	s.begun(now, long.pin)
 	assert.Assert(t, granted(urgent) && granted(second) && !granted(third))
-	late := s.acquire(now.Add(-time.Second), &enginelink.Acquire{UsefulMS: 800}, &pin{key: key("a"), tokens: 4_000})
+	late := s.acquire(now.Add(-time.Second), &enginelink.Acquire{SlackMS: 800}, &pin{key: key("a"), tokens: 4_000})
 	s.begun(now, urgent.pin)
 	assert.Assert(t, granted(third) && !granted(late), "one that can be in time goes before one that can't")
 	s.cancel(now, late)
--- a/controller/slots.go
+++ b/controller/slots.go
@@ -57,7 +57,7 @@
 func (s *slots) acquire(now time.Time, q *enginelink.Acquire, p *pin) *pendingRequest {
 	w := &pendingRequest{
 		grant: make(chan enginelink.Grant, 1), priority: q.Priority, pin: p,
-		usefulUntil: now.Add(time.Duration(q.UsefulMS) * time.Millisecond),
+		usefulUntil: now.Add(time.Duration(q.SlackMS) * time.Millisecond),
 	}
 	if p.key.Adapter == "" {
 		s.grant(now, 0, w)
--- a/controller/unreportedpins.go
+++ b/controller/unreportedpins.go
@@ -20,7 +20,7 @@
 // taken pins without it: the last status may have been a heartbeat old by then. A look at
 // an engine that does not answer can take as long, which holds up unloads by relinkTime and
 // no more.
-const frozenAfter = enginelink.HeartbeatTimeout - enginelink.Heartbeat
+const frozenAfter = enginelink.HeartbeatTimeout - enginelink.HeartbeatInterval
 
 // unreportedPins decides whether gateways may hold pins that this controller does not
 // know of. While it has no link, and before its first one after a start, gateways
--- a/directory/anyorder_test.go
+++ b/directory/anyorder_test.go
@@ -124,7 +124,7 @@
 // peerChange brings any change that ever was on its way.
 func (n *network) peerChange(t *rapid.T, g *gatewayList) {
 	if len(n.changes) > 0 {
-		g.Learn(rapid.SampledFrom(n.changes).Draw(t, "change"))
+		g.ApplyPeerChange(rapid.SampledFrom(n.changes).Draw(t, "change"))
 	}
 }
 
@@ -132,7 +132,7 @@
 func (n *network) peerList(t *rapid.T, g *gatewayList) {
 	if len(n.lists) > 0 {
 		l := rapid.SampledFrom(n.lists).Draw(t, "list")
-		g.Adopt(l.items, l.at)
+		g.ApplyPeerList(l.items, l.at)
 	}
 }
 
@@ -145,7 +145,7 @@
 // check fails unless the mark and all entries are no older than before, and each upstream
 // stands as it stood at some revision from the mark on.
 func (n *network) check(t *rapid.T, g *gatewayList) {
-	mark := g.Mark()
+	mark := g.Watermark()
 	if len(g.marks) > 0 {
 		assert.Assert(t, mark >= g.marks[len(g.marks)-1], "the mark went back to %d", mark)
 	}
@@ -192,10 +192,10 @@
 			ordered.Update([]sandbarrow.KeyItem{it}, it.Revision)
 		}
 		for _, g := range n.gateways {
-			if g.Mark() == 0 {
+			if g.Watermark() == 0 {
 				g.Replace(nil, 0)
 			}
-			g.Update(n.history[g.Mark():], n.history.head())
+			g.Update(n.history[g.Watermark():], n.history.head())
 			assert.Equal(t, ids(g.Directory, "s"), ids(ordered, "s"))
 		}
 	})
--- a/directory/change.go
+++ b/directory/change.go
@@ -8,7 +8,7 @@
 	Items []sandbarrow.KeyItem `json:"items,omitempty"`
 	// Since and Mark are the revisions between which Items are complete.
 	Since sandbarrow.StoreRevision `json:"since"`
-	Mark  sandbarrow.StoreRevision `json:"mark"`
+	Watermark  sandbarrow.StoreRevision `json:"mark"`
 }
 
 // Update applies changes of the list.
@@ -23,19 +23,19 @@
 	return d.advance(items, at)
 }
 
-// Learn applies a change that another gateway read. One that does not follow what
+// ApplyPeerChange applies a change that another gateway read. One that does not follow what
 // is known is ignored: this gateway reads the list itself then.
-func (d *Directory) Learn(c Change) {
+func (d *Directory) ApplyPeerChange(c Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.at == 0 || c.Since > d.at || c.Mark <= d.at {
+	if d.at == 0 || c.Since > d.at || c.Watermark <= d.at {
 		return
 	}
-	d.advance(c.Items, c.Mark)
+	d.advance(c.Items, c.Watermark)
 }
 
-// Mark is the revision up to which the list is complete.
-func (d *Directory) Mark() sandbarrow.StoreRevision {
+// Watermark is the revision up to which the list is complete.
+func (d *Directory) Watermark() sandbarrow.StoreRevision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.at
@@ -43,7 +43,7 @@
 
 // advance applies changes. The caller holds mu.
 func (d *Directory) advance(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) Change {
-	change := Change{Since: d.at, Mark: at}
+	change := Change{Since: d.at, Watermark: at}
 	if len(items) == 0 {
 		d.confirm(at) // the most frequent news, which needs no new view
 		return change
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -81,9 +81,9 @@
 	return items, d.at
 }
 
-// Adopt applies a peer's entries if they stand for a newer revision, and reports
+// ApplyPeerList applies a peer's entries if they stand for a newer revision, and reports
 // whether it did.
-func (d *Directory) Adopt(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) bool {
+func (d *Directory) ApplyPeerList(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at <= d.at || len(items) == 0 {
@@ -100,8 +100,8 @@
 	return boottime.Since(d.confirmedAt)
 }
 
-// LastNew is when an upstream was listed last that was not known before.
-func (d *Directory) LastNew() time.Time {
+// LastAdded is when an upstream was listed last that was not known before.
+func (d *Directory) LastAdded() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.newest
@@ -145,8 +145,8 @@
 	return !known || returned || !sameButHeld(&old.instance, &instance)
 }
 
-// Refused is how many entries named no upstream, as they were malformed.
-func (d *Directory) Refused() uint64 {
+// RefusedEntries is how many entries named no upstream, as they were malformed.
+func (d *Directory) RefusedEntries() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refused
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -124,7 +124,7 @@
 	change := d.Advance([]sandbarrow.KeyItem{item("b", 7, "s 2 @200")}, 7)
 	assert.Assert(t, !accepts(d, chosen))
 	assert.Equal(t, d.View().Service("s")[1].ID, sandbarrow.InstanceID("b@200"))
-	assert.Assert(t, !d.LastNew().IsZero())
+	assert.Assert(t, !d.LastAdded().IsZero())
 	assert.Equal(t, len(change.Items), 1, "other gateways need it")
 	d.Update([]sandbarrow.KeyItem{item("b", 6, "s 2 @100")}, 8) // a late word of the last start
 	assert.Equal(t, d.View().Service("s")[1].ID, sandbarrow.InstanceID("b@200"))
@@ -133,11 +133,11 @@
 // A malformed entry is counted once for each revision, and other gateways learn of it.
 func TestMalformedEntriesAreCounted(t *testing.T) {
 	d := newDirectory()
-	before := d.Refused()
+	before := d.RefusedEntries()
 	change := d.Advance([]sandbarrow.KeyItem{item("b", 6, "rubbish")}, 6)
 	assert.Equal(t, len(change.Items), 1)
 	d.Replace([]sandbarrow.KeyItem{item("a", 1, "s 1"), item("b", 6, "rubbish")}, 7)
-	assert.Equal(t, d.Refused()-before, uint64(1))
+	assert.Equal(t, d.RefusedEntries()-before, uint64(1))
 }
 
 // accepts reports whether an upstream is still listed and does not drain.
--- a/directory/lapse_test.go
+++ b/directory/lapse_test.go
@@ -33,9 +33,9 @@
 	peer.confirmedAt = boottime.Now().Add(-2 * outageAfter)
 	peer.Update([]sandbarrow.KeyItem{gone("a", 6), gone("b", 7), gone("c", 8)}, 8)
 	starting := New(list{}, slog.New(slog.DiscardHandler))
-	assert.Assert(t, starting.Adopt(peer.Items()))
+	assert.Assert(t, starting.ApplyPeerList(peer.Items()))
 	assert.Equal(t, ids(starting, "s"), "a b c d")
-	starting.Learn(Change{Items: []sandbarrow.KeyItem{item("b", 9, "s 2")}, Since: 8, Mark: 9})
+	starting.ApplyPeerChange(Change{Items: []sandbarrow.KeyItem{item("b", 9, "s 2")}, Since: 8, Watermark: 9})
 	deadline := time.Now().Add(3 * lapseGrace)
 	for ids(starting, "s") != "b d" && time.Now().Before(deadline) {
 		time.Sleep(20 * time.Millisecond)
--- a/directory/learn_test.go
+++ b/directory/learn_test.go
@@ -15,19 +15,19 @@
 		mark   sandbarrow.StoreRevision
 	}{
 		"what follows": {
-			Change{Items: []sandbarrow.KeyItem{item("a", 6, "s 1 leaving"), gone("b", 7)}, Since: 5, Mark: 8}, "a! c d", 8,
+			Change{Items: []sandbarrow.KeyItem{item("a", 6, "s 1 leaving"), gone("b", 7)}, Since: 5, Watermark: 8}, "a! c d", 8,
 		},
-		"nothing but that it is complete": {Change{Since: 4, Mark: 9}, "a b c d", 9},
-		"a gap in between":                {Change{Items: []sandbarrow.KeyItem{gone("a", 7)}, Since: 6, Mark: 8}, "a b c d", 5},
-		"older than what is known":        {Change{Items: []sandbarrow.KeyItem{gone("a", 3)}, Since: 2, Mark: 4}, "a b c d", 5},
+		"nothing but that it is complete": {Change{Since: 4, Watermark: 9}, "a b c d", 9},
+		"a gap in between":                {Change{Items: []sandbarrow.KeyItem{gone("a", 7)}, Since: 6, Watermark: 8}, "a b c d", 5},
+		"older than what is known":        {Change{Items: []sandbarrow.KeyItem{gone("a", 3)}, Since: 2, Watermark: 4}, "a b c d", 5},
 		"older in part": {
-			Change{Items: []sandbarrow.KeyItem{gone("a", 3), gone("b", 6)}, Since: 2, Mark: 6}, "a c d", 6,
+			Change{Items: []sandbarrow.KeyItem{gone("a", 3), gone("b", 6)}, Since: 2, Watermark: 6}, "a c d", 6,
 		},
 	} {
 		d := newDirectory()
-		d.Learn(tc.change)
+		d.ApplyPeerChange(tc.change)
 		assert.Equal(t, ids(d, "s"), tc.want, name)
-		assert.Equal(t, d.Mark(), tc.mark, name)
+		assert.Equal(t, d.Watermark(), tc.mark, name)
 	}
 }
 
@@ -38,20 +38,20 @@
 		item("a", 6, "s 1"), item("b", 7, "s 2 leaving"), item("f", 8, "s 6"), gone("c", 9),
 	}, 10)
 	assert.Equal(t, change.Since, sandbarrow.StoreRevision(5))
-	assert.Equal(t, change.Mark, sandbarrow.StoreRevision(10))
+	assert.Equal(t, change.Watermark, sandbarrow.StoreRevision(10))
 	var keys []string
 	for _, it := range change.Items {
 		keys = append(keys, it.Key)
 	}
 	assert.DeepEqual(t, keys, []string{"b", "f", "c"})
 	other := newDirectory()
-	other.Learn(change)
+	other.ApplyPeerChange(change)
 	assert.Equal(t, ids(other, "s"), ids(d, "s"))
 }
 
 func TestAdvanceTellsWhatReturned(t *testing.T) {
 	d, other := newDirectory(), newDirectory()
-	other.Learn(d.Advance([]sandbarrow.KeyItem{gone("a", 6), gone("b", 7), item("b", 8, "s 2"), item("b", 9, "s 2")}, 9))
+	other.ApplyPeerChange(d.Advance([]sandbarrow.KeyItem{gone("a", 6), gone("b", 7), item("b", 8, "s 2"), item("b", 9, "s 2")}, 9))
 	assert.Equal(t, ids(d, "s"), "b c d")
 	assert.Equal(t, ids(other, "s"), "b c d")
 }
@@ -59,8 +59,8 @@
 // A directory that knows nothing yet can't follow a change.
 func TestLearnNeedsAStart(t *testing.T) {
 	d := New(list{}, nil)
-	d.Learn(Change{Since: 0, Mark: 3})
-	assert.Equal(t, d.Mark(), sandbarrow.StoreRevision(0))
+	d.ApplyPeerChange(Change{Since: 0, Watermark: 3})
+	assert.Equal(t, d.Watermark(), sandbarrow.StoreRevision(0))
 	assert.Assert(t, d.View() == nil)
 }
 
@@ -69,6 +69,6 @@
 	d.Replace([]sandbarrow.KeyItem{
 		item("a", 1, "s 1"), item("b", 2, "s 2"), item("c", 3, "s 3"), item("d", 7, "s 4 leaving"), item("e", 5, "t 5"),
 	}, 5)
-	other.Learn(d.Advance([]sandbarrow.KeyItem{item("d", 7, "s 4 leaving")}, 8))
+	other.ApplyPeerChange(d.Advance([]sandbarrow.KeyItem{item("d", 7, "s 4 leaving")}, 8))
 	assert.Equal(t, ids(other, "s"), "a b c d!")
 }
--- a/directory/storereturn_test.go
+++ b/directory/storereturn_test.go
@@ -61,11 +61,11 @@
 
 func TestPeerChangesOfAnotherEraAreIgnored(t *testing.T) {
 	d := changedDirectory()
-	d.Learn(Change{Items: []sandbarrow.KeyItem{item("g", rev(2, 102), "s 7")}, Since: rev(2, 100), Mark: rev(2, 102)})
+	d.ApplyPeerChange(Change{Items: []sandbarrow.KeyItem{item("g", rev(2, 102), "s 7")}, Since: rev(2, 100), Watermark: rev(2, 102)})
 	assert.Equal(t, ids(d, "s"), "a! c@200 d f", "a later era, with earlier changes unknown")
 	d.Replace(olderList(), rev(2, 100))
-	d.Learn(Change{Items: []sandbarrow.KeyItem{item("d", rev(1, 110), "s 4 leaving")}, Since: rev(1, 104), Mark: rev(1, 110)})
+	d.ApplyPeerChange(Change{Items: []sandbarrow.KeyItem{item("d", rev(1, 110), "s 4 leaving")}, Since: rev(1, 104), Watermark: rev(1, 110)})
 	assert.Equal(t, ids(d, "s"), "a! c@200 d f", "the earlier era")
-	d.Learn(Change{Items: []sandbarrow.KeyItem{item("g", rev(2, 102), "s 7")}, Since: rev(2, 100), Mark: rev(2, 102)})
+	d.ApplyPeerChange(Change{Items: []sandbarrow.KeyItem{item("g", rev(2, 102), "s 7")}, Since: rev(2, 100), Watermark: rev(2, 102)})
 	assert.Equal(t, ids(d, "s"), "a! c@200 d f g")
 }
--- a/enginelink/estatesync.go
+++ b/enginelink/estatesync.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// WatchLead is how long the store's own watch may take to bring what a peer has announced, so
+	// StoreWatchGrace is how long the store's own watch may take to bring what a peer has announced, so
 	// that it is not fetched twice.
-	WatchLead = 300 * time.Millisecond
+	StoreWatchGrace = 300 * time.Millisecond
 	// fetchTimeout bounds one fetch from a peer.
 	fetchTimeout = 2 * time.Second
 )
 
-// AnnounceMarks sends a peer each new mark of the operators' state until ctx ends.
-func AnnounceMarks(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) {
+// PublishWatermarks sends a peer each new mark of the operators' state until ctx ends.
+func PublishWatermarks(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) {
 	for ctx.Err() == nil {
-		mark, changed := e.Mark()
+		mark, changed := e.Watermark()
 		if mark.Revision > 0 {
-			if err := rpc.Notify(ctx, MethodMark, mark); err != nil {
+			if err := rpc.Notify(ctx, MethodWatermark, mark); err != nil {
 				return
 			}
 		}
@@ -35,10 +35,10 @@
 	}
 }
 
-// FollowMark fetches what a peer has announced and this side lacks, unless the
+// FollowWatermark fetches what a peer has announced and this side lacks, unless the
 // store brings it within lead.
-func FollowMark(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate, m Mark, lead time.Duration) {
-	mine, _ := e.Mark()
+func FollowWatermark(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate, m Watermark, lead time.Duration) {
+	mine, _ := e.Watermark()
 	if !mine.MayLack(m) {
 		return
 	}
@@ -51,7 +51,7 @@
 	}
 	e.Fetching.Lock()
 	defer e.Fetching.Unlock()
-	if mine, _ = e.Mark(); !mine.MayLack(m) {
+	if mine, _ = e.Watermark(); !mine.MayLack(m) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -62,13 +62,13 @@
 // Fetch asks a peer for what this side lacks of the operators' state, and for how long ago
 // the peer's state was the newest.
 func Fetch(ctx context.Context, rpc *jsonrpc2.Conn, e *estate.Estate) error {
-	mine, _ := e.Mark()
+	mine, _ := e.Watermark()
 	asked := boottime.Now()
 	var got Estate
 	if err := rpc.Call(ctx, MethodFetch, mine, &got); err != nil {
 		return err
 	}
-	e.Learn(got.Items, Mark{Earlier: got.Earlier, Revision: got.Mark})
+	e.ApplyPeerChange(got.Items, Watermark{Earlier: got.Earlier, Revision: got.Watermark})
 	if got.AgeMS != nil {
 		e.Confirm(asked.Add(-time.Duration(*got.AgeMS)*time.Millisecond), got.Table)
 	}
@@ -77,10 +77,10 @@
 
 // ServeFetch answers a fetch.
 func ServeFetch(rpc *jsonrpc2.Conn, r *jsonrpc2.Request, e *estate.Estate) (any, error) {
-	return wire.Later(rpc, r, func(m Mark) any {
+	return wire.Later(rpc, r, func(m Watermark) any {
 		confirmed, table := e.Confirmed() // before the items, which may be newer
 		items, mark := e.Since(m)
-		return Estate{AgeMS: ageMS(confirmed), Earlier: mark.Earlier, Items: items, Mark: mark.Revision, Table: table}
+		return Estate{AgeMS: ageMS(confirmed), Earlier: mark.Earlier, Items: items, Watermark: mark.Revision, Table: table}
 	})
 }
 
--- a/enginelink/messages.go
+++ b/enginelink/messages.go
@@ -22,24 +22,24 @@
 const (
 	// MethodAcquire asks a controller to pin an adapter; a call.
 	MethodAcquire = "engine.acquire"
-	// MethodBegun reports that a request's answer has begun, so that its prompt no
+	// MethodResponseStarted reports that a request's answer has begun, so that its prompt no
 	// longer waits.
-	MethodBegun = "engine.begun"
+	MethodResponseStarted = "engine.begun"
 	// MethodCrashes tells under which requests upstreams have ended; a call between gateways,
 	// whose result is what the other side knows.
 	MethodCrashes = "crash.records"
-	// MethodDone ends a pin.
-	MethodDone = "engine.done"
+	// MethodUnpin ends a pin.
+	MethodUnpin = "engine.done"
 	// MethodFetch reads what changed of the operators' state; a call.
 	MethodFetch = "estate.fetch"
 	// MethodHello opens a link.
 	MethodHello = "link.hello"
-	// MethodKept reports which prompt parts an engine keeps.
-	MethodKept = "engine.kept"
+	// MethodCachedPrompts reports which prompt parts an engine keeps.
+	MethodCachedPrompts = "engine.kept"
 	// MethodLead asks a controller to lead a quota shard.
 	MethodLead = "quota.lead"
-	// MethodLeads announces the quota shards that a controller leads now.
-	MethodLeads = "quota.leads"
+	// MethodLedShards announces the quota shards that a controller leads now.
+	MethodLedShards = "quota.leads"
 	// MethodLimit announces what an upstream says of its limit: controllers tell gateways.
 	MethodLimit = "limit.named"
 	// MethodListed carries what one gateway has read of the list of upstreams; the
@@ -47,9 +47,9 @@
 	MethodListed = "directory.change"
 	// MethodPaused reports that a stream has paused for longer than its route allows.
 	MethodPaused = "engine.paused"
-	// MethodMark announces up to which revision the sender's view of the operators'
+	// MethodWatermark announces up to which revision the sender's view of the operators'
 	// state is complete.
-	MethodMark = "estate.mark"
+	MethodWatermark = "estate.mark"
 	// MethodSend asks the keeper of an upstream's limit for one send; a call.
 	MethodSend = "limit.send"
 	// MethodSent reports to the keeper of an upstream's limit what another one granted, what
@@ -57,22 +57,22 @@
 	MethodSent = "limit.sent"
 	// MethodStatus reports an engine to the gateways.
 	MethodStatus = "engine.status"
-	// MethodTake asks the leader of a workspace's quota shard for what a request counts; a
+	// MethodAcquireQuota asks the leader of a workspace's quota shard for what a request counts; a
 	// call.
-	MethodTake = "quota.take"
-	// MethodUsing reports a pin that goes on to a controller that may not know it.
-	MethodUsing = "engine.using"
+	MethodAcquireQuota = "quota.take"
+	// MethodPinned reports a pin that goes on to a controller that may not know it.
+	MethodPinned = "engine.using"
 )
 
 const (
-	// Heartbeat is the longest pause between two statuses: the same as between entries and agents.
-	Heartbeat = 500 * time.Millisecond
+	// HeartbeatInterval is the longest pause between two statuses: the same as between entries and agents.
+	HeartbeatInterval = 500 * time.Millisecond
 	// HeartbeatTimeout is how long no status may arrive before a controller counts
 	// as unreachable.
-	HeartbeatTimeout = 3 * Heartbeat
-	// LoadPatience is how much longer than its wait a request stays with an engine that is loading
+	HeartbeatTimeout = 3 * HeartbeatInterval
+	// ExtraLoadWait is how much longer than its wait a request stays with an engine that is loading
 	// its adapter already: several loads under contention.
-	LoadPatience = 2 * time.Second
+	ExtraLoadWait = 2 * time.Second
 )
 
 // ReadBufferBytes is the read buffer of a link: room for any status, of some 400 bytes
@@ -104,14 +104,14 @@
 	RefuseDraining RefuseReason = "leaving"
 	// RefuseInstance means that another instance runs than the one that the gateway knows.
 	RefuseInstance RefuseReason = "instance"
-	// RefuseLeft means that the gateway has ended the request meanwhile.
-	RefuseLeft RefuseReason = "left"
+	// RefuseCanceled means that the gateway has ended the request meanwhile.
+	RefuseCanceled RefuseReason = "left"
 	// RefuseNoModel means that the engine does not hold the base model.
 	RefuseNoModel RefuseReason = "no-model"
 	// RefuseUnreachable means that the engine does not answer its controller.
 	RefuseUnreachable RefuseReason = "silent"
-	// RefuseSlots means that no slot came free in time.
-	RefuseSlots RefuseReason = "slots"
+	// RefuseNoSlot means that no slot came free in time.
+	RefuseNoSlot RefuseReason = "slots"
 )
 
 // Hello opens a link.
@@ -138,38 +138,38 @@
 	Term quota.Term `json:"term,omitempty"`
 }
 
-// LeadTerm is one term of a shard's leader.
-type LeadTerm struct {
+// ShardTerm is one term of a shard's leader.
+type ShardTerm struct {
 	Shard quota.Shard `json:"shard"`
 	Term  quota.Term  `json:"term"`
 }
 
-// Leads are all shards that a controller leads.
-type Leads struct {
-	Terms []LeadTerm `json:"terms"`
+// LedShards are all shards that a controller leads.
+type LedShards struct {
+	Terms []ShardTerm `json:"terms"`
 }
 
-// Take asks the leader of a shard for what a request counts against the part of its
+// AcquireQuota asks the leader of a shard for what a request counts against the part of its
 // workspace's limit that the shard has.
-type Take struct {
+type AcquireQuota struct {
 	Shard     quota.Shard            `json:"shard"`
 	Units     int64                  `json:"units"`
 	Workspace sandbarrow.WorkspaceID `json:"workspace"`
 }
 
-// Taken answers a Take.
-type Taken struct {
+// QuotaGrant answers a Take.
+type QuotaGrant struct {
 	Granted bool `json:"granted,omitempty"`
-	// LifeMS is how long the grant may be used, in milliseconds from when it was asked for.
-	LifeMS int64 `json:"life_ms,omitempty"`
-	// NotLeading says that the controller leads the shard no more, or does not know the
+	// ValidForMS is how long the grant may be used, in milliseconds from when it was asked for.
+	ValidForMS int64 `json:"life_ms,omitempty"`
+	// NotLeader says that the controller leads the shard no more, or does not know the
 	// workspace: another one may.
-	NotLeading bool `json:"not_leading,omitempty"`
-	// RetryMS is when a request that was not granted may come back, in milliseconds.
-	RetryMS int64 `json:"retry_ms,omitempty"`
-	// Young says that the term has just begun, with nothing to grant: a request that was not
+	NotLeader bool `json:"not_leading,omitempty"`
+	// RetryAfterMS is when a request that was not granted may come back, in milliseconds.
+	RetryAfterMS int64 `json:"retry_ms,omitempty"`
+	// NewTerm says that the term has just begun, with nothing to grant: a request that was not
 	// granted is better asked for again than refused.
-	Young bool `json:"young,omitempty"`
+	NewTerm bool `json:"young,omitempty"`
 }
 
 // Limits are what upstreams say of their limits.
@@ -180,8 +180,8 @@
 // Send asks for one send to an upstream that names a limit.
 type Send struct {
 	throttle.Record
-	// WithinMS is how long the send may wait, in milliseconds.
-	WithinMS int64 `json:"within_ms,omitempty"`
+	// MaxWaitMS is how long the send may wait, in milliseconds.
+	MaxWaitMS int64 `json:"within_ms,omitempty"`
 }
 
 // SendGrant answers a Send.
@@ -201,8 +201,8 @@
 	Sends int `json:"sends,omitempty"`
 }
 
-// Mark says up to which revisions a side's estate is complete.
-type Mark = estate.Mark
+// Watermark says up to which revisions a side's estate is complete.
+type Watermark = estate.Watermark
 
 // Estate answers a fetch.
 type Estate struct {
@@ -212,7 +212,7 @@
 	// Earlier holds the revisions up to which the sender is complete in earlier eras of the store.
 	Earlier []sandbarrow.StoreRevision `json:"earlier,omitempty"`
 	Items   []sandbarrow.KeyItem       `json:"items"`
-	Mark    sandbarrow.StoreRevision   `json:"mark"`
+	Watermark    sandbarrow.StoreRevision   `json:"mark"`
 	// Table is the revision of the sender's table of routes.
 	Table sandbarrow.StoreRevision `json:"table,omitempty"`
 }
@@ -223,27 +223,27 @@
 	ID       sandbarrow.RequestID   `json:"id"`
 	Instance sandbarrow.InstanceID  `json:"instance"`
 	Model    sandbarrow.BaseModelID `json:"model"`
-	// MostWaiting is how many prompt tokens may wait at the engine for it to be
+	// MaxWaitingTokens is how many prompt tokens may wait at the engine for it to be
 	// the best choice still; 0 takes it in any case.
-	MostWaiting int `json:"most_waiting,omitempty"`
+	MaxWaitingTokens int `json:"most_waiting,omitempty"`
 	Priority    int `json:"priority"`
-	// Stretches are those of the prompt, for an estimate of what the engine keeps of it.
-	Stretches []promptcache.PromptPrefix `json:"stretches,omitempty"`
+	// PromptPrefixes are those of the prompt, for an estimate of what the engine keeps of it.
+	PromptPrefixes []promptcache.PromptPrefix `json:"stretches,omitempty"`
 	Tokens    int                        `json:"tokens"`
-	// UsefulMS is how long a grant still lets the answer be in time, in
+	// SlackMS is how long a grant still lets the answer be in time, in
 	// milliseconds; it may be negative.
-	UsefulMS int64 `json:"useful_ms"`
+	SlackMS int64 `json:"useful_ms"`
 	// Version is the least version that may run.
 	Version sandbarrow.AdapterVersion `json:"version"`
 	// WaitMS is how long the gateway waits for a load to begin, in milliseconds.
 	WaitMS int64 `json:"wait_ms"`
 }
 
-// Kept is what changed of the prompt parts that an engine keeps, as its controller
+// CachedPrompts is what changed of the prompt parts that an engine keeps, as its controller
 // estimates it.
-type Kept struct {
-	// All says that the changes are all that is kept.
-	All     bool                 `json:"all,omitempty"`
+type CachedPrompts struct {
+	// Complete says that the changes are all that is kept.
+	Complete     bool                 `json:"all,omitempty"`
 	Changes []promptcache.Change `json:"changes"`
 }
 
--- a/enginelink/sendkeeper.go
+++ b/enginelink/sendkeeper.go
@@ -11,22 +11,22 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// SendKeeper serves the questions for sends to upstreams that name a limit: a controller does
+// SendCoordinator serves the questions for sends to upstreams that name a limit: a controller does
 // for all gateways, a gateway for its peers where there is no controller. It is safe for
 // concurrent use.
-type SendKeeper struct {
+type SendCoordinator struct {
 	mu     sync.Mutex
 	keeper throttle.Coordinator
 }
 
-// NewSendKeeper returns a keeper that grants one of so many parts of the limits.
-func NewSendKeeper(parts int) *SendKeeper {
-	return &SendKeeper{keeper: throttle.Coordinator{Shares: parts}}
+// NewSendCoordinator returns a keeper that grants one of so many parts of the limits.
+func NewSendCoordinator(parts int) *SendCoordinator {
+	return &SendCoordinator{keeper: throttle.Coordinator{Shares: parts}}
 }
 
 // Handle serves a message about limits; handled is false for any other one. changed has what
 // an upstream says by now, where the message brought it.
-func (k *SendKeeper) Handle(r *jsonrpc2.Request) (answer any, changed *throttle.Record, handled bool, err error) {
+func (k *SendCoordinator) Handle(r *jsonrpc2.Request) (answer any, changed *throttle.Record, handled bool, err error) {
 	switch r.Method {
 	case MethodSend:
 		var q Send
@@ -46,19 +46,19 @@
 }
 
 // Records is what this keeper knows of limits.
-func (k *SendKeeper) Records() []throttle.Record {
+func (k *SendCoordinator) Records() []throttle.Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.keeper.Records(boottime.Now())
 }
 
 // Send answers the question for one send.
-func (k *SendKeeper) Send(q *Send) (grant SendGrant, changed *throttle.Record) {
+func (k *SendCoordinator) Send(q *Send) (grant SendGrant, changed *throttle.Record) {
 	now := boottime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed = k.apply(now, q.Record)
-	g := k.keeper.Acquire(now, q.Record, time.Duration(q.WithinMS)*time.Millisecond)
+	g := k.keeper.Acquire(now, q.Record, time.Duration(q.MaxWaitMS)*time.Millisecond)
 	grant = SendGrant{Granted: g.Granted, WaitMS: int64((g.Wait + time.Millisecond - 1) / time.Millisecond)}
 	if known, ok := k.keeper.Record(now, q.Instance); ok {
 		grant.Limit = &known
@@ -67,7 +67,7 @@
 }
 
 // Sent notes what another keeper granted.
-func (k *SendKeeper) Sent(s *Sent) (changed *throttle.Record) {
+func (k *SendCoordinator) Sent(s *Sent) (changed *throttle.Record) {
 	now := boottime.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -78,7 +78,7 @@
 
 // apply notes what an upstream says of its limit, and returns that where it is news. The
 // caller holds mu.
-func (k *SendKeeper) apply(now time.Time, r throttle.Record) *throttle.Record {
+func (k *SendCoordinator) apply(now time.Time, r throttle.Record) *throttle.Record {
 	if !k.keeper.Merge(now, r) {
 		return nil
 	}
--- a/enginelink/status.go
+++ b/enginelink/status.go
@@ -55,7 +55,7 @@
 
 // Brief is the status for a reader that knows what the engine holds.
 func (s Status) Brief() Status {
-	s.Loads, s.Models, s.ModelVersions, s.Slots, s.Speed, s.Same = Loads{}, nil, nil, nil, readspeed.Speed{}, true
+	s.Loads, s.Models, s.ModelVersions, s.Slots, s.Speed, s.OmitsUnchanged = Loads{}, nil, nil, nil, readspeed.Speed{}, true
 	return s
 }
 
@@ -149,11 +149,11 @@
 
 // Expand undoes Full, and Brief and Since with the help of the last status.
 func (s *Status) Expand(last *Status) {
-	if !s.Same {
+	if !s.OmitsUnchanged {
 		expand(s.Slots, s.Models)
 		return
 	}
-	s.Models, s.ModelVersions, s.Slots, s.Same = last.Models, last.ModelVersions, last.Slots, false
+	s.Models, s.ModelVersions, s.Slots, s.OmitsUnchanged = last.Models, last.ModelVersions, last.Slots, false
 	if len(s.Changes) > 0 {
 		expand(s.Changes, s.Models)
 		s.Slots = applyChanges(last.Slots, s.Changes)
@@ -171,8 +171,8 @@
 type Loads struct {
 	// Count counts them.
 	Count uint64 `json:"n"`
-	// TookMS is how long the last one took, in milliseconds.
-	TookMS int64 `json:"t"`
+	// LastLoadMS is how long the last one took, in milliseconds.
+	LastLoadMS int64 `json:"t"`
 }
 
 // Status is what a controller knows of its engine.
@@ -193,9 +193,9 @@
 	ModelVersions []sandbarrow.ModelVersion `json:"mv,omitempty"`
 	// Running counts granted pins.
 	Running int `json:"r"`
-	// Same says that what of Loads, Models, their versions, Slots and Speed is left out is that of the last
+	// OmitsUnchanged says that what of Loads, Models, their versions, Slots and Speed is left out is that of the last
 	// status on this link.
-	Same bool `json:"k,omitempty"`
+	OmitsUnchanged bool `json:"k,omitempty"`
 	// EngineUnreachable says that the engine does not answer.
 	EngineUnreachable bool         `json:"silent,omitempty"`
 	Slots             []SlotStatus `json:"s,omitempty"`
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -35,7 +35,7 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "sandbarrow_configuration_revision",
 			Help: "The configuration revision in force.",
-		}, func() float64 { return float64(e.follower.Mark().Revision) }),
+		}, func() float64 { return float64(e.follower.Watermark().Revision) }),
 	)
 	return m
 }
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -102,7 +102,7 @@
 	defer cancel()
 	err = rpc.Call(callCtx, wire.MethodHello, wire.Hello{
 		Box:           p.entry.settings.Box.ID,
-		Config:        p.entry.follower.Mark(),
+		Config:        p.entry.follower.Watermark(),
 		FailureDomain: p.entry.settings.Box.FailureDomain,
 		Lane:          further,
 		Protocol:      wire.Protocol,
@@ -174,7 +174,7 @@
 }
 
 func (p *peer) sendMark() {
-	_ = p.lanes[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Mark()) // a lost peer needs none
+	_ = p.lanes[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Watermark()) // a lost peer needs none
 }
 
 func (p *peer) handleMessage(ctx context.Context, r *jsonrpc2.Request) (any, error) {
--- a/entry/places.go
+++ b/entry/places.go
@@ -37,7 +37,7 @@
 	set := &sandbarrow.IndexSet{}
 	for i := range count {
 		info := f.Info(i)
-		ok, err := v.Place(key.policy, key.class, policy.Upstream{Box: info.Box, FailureDomain: info.FailureDomain, ID: info.ID})
+		ok, err := v.PermitsUpstream(key.policy, key.class, policy.Upstream{Box: info.Box, FailureDomain: info.FailureDomain, ID: info.ID})
 		if err != nil {
 			return nil, err
 		}
--- a/estate/confirm.go
+++ b/estate/confirm.go
@@ -62,7 +62,7 @@
 
 // invalidate drops the confirmation and restarts rewriteWindow. It is called when a peer knows a newer table
 // that the store has lost and the operators have not rewritten yet.
-func (c *confirmation) invalidate(mark Mark) {
+func (c *confirmation) invalidate(mark Watermark) {
 	c.at = time.Time{}
 	c.copyEnd, c.restoredAt = max(c.copyEnd, mark.Revision), boottime.Now()
 }
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -42,18 +42,18 @@
 
 // View is an immutable state of the estate.
 type View struct {
-	// At is when the table came into force here.
-	At time.Time
+	// InForceSince is when the table came into force here.
+	InForceSince time.Time
 	// Revision is the store's revision of the table.
 	Revision sandbarrow.StoreRevision
 	Table    *route.Table
 	versions map[sandbarrow.AdapterKey]sandbarrow.AdapterVersion
 }
 
-// LeastVersion returns the least version of an adapter that may run a request: the newest
+// MinVersion returns the least version of an adapter that may run a request: the newest
 // named one, or 0 where none is named or the state is not known yet (v is nil). A named
 // version of a base model binds no request: engines run the one that they loaded.
-func (v *View) LeastVersion(key sandbarrow.AdapterKey) sandbarrow.AdapterVersion {
+func (v *View) MinVersion(key sandbarrow.AdapterKey) sandbarrow.AdapterVersion {
 	if v == nil || key.Adapter == "" {
 		return 0
 	}
@@ -84,7 +84,7 @@
 	// latest has all items applied. It is apart from view, which stays nil until there is
 	// a table, so that a version named before that is not lost.
 	latest View
-	mark   Mark
+	mark   Watermark
 }
 
 // New returns an estate that knows nothing yet.
@@ -100,9 +100,9 @@
 	return e.view.Load()
 }
 
-// Mark returns up to which revisions this estate is complete, and a channel that closes
+// Watermark returns up to which revisions this estate is complete, and a channel that closes
 // at its next change.
-func (e *Estate) Mark() (Mark, <-chan struct{}) {
+func (e *Estate) Watermark() (Watermark, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.mark, e.changed
@@ -110,7 +110,7 @@
 
 // Since returns the items that a peer with the given mark may lack, and the mark up to
 // which they make it complete.
-func (e *Estate) Since(known Mark) ([]sandbarrow.KeyItem, Mark) {
+func (e *Estate) Since(known Watermark) ([]sandbarrow.KeyItem, Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var items []sandbarrow.KeyItem
@@ -123,16 +123,16 @@
 	return items, e.mark
 }
 
-// Answered is when the store last answered this process about the operators' state, be it
+// LastStoreResponse is when the store last answered this process about the operators' state, be it
 // that nothing has changed; zero where it never did.
-func (e *Estate) Answered() time.Time {
+func (e *Estate) LastStoreResponse() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.answered
 }
 
-// Learn applies changes that a peer has sent and the mark up to which they are complete.
-func (e *Estate) Learn(items []sandbarrow.KeyItem, mark Mark) {
+// ApplyPeerChange applies changes that a peer has sent and the mark up to which they are complete.
+func (e *Estate) ApplyPeerChange(items []sandbarrow.KeyItem, mark Watermark) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.merge(fromPeer, items, mark)
@@ -149,7 +149,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answered = time.Now()
-	e.merge(fromStore, items, Mark{Revision: at})
+	e.merge(fromStore, items, Watermark{Revision: at})
 }
 
 // source says who has sent a change, for log lines.
@@ -161,7 +161,7 @@
 )
 
 // merge keeps what is newer than what is known. The caller holds mu.
-func (e *Estate) merge(from source, items []sandbarrow.KeyItem, mark Mark) {
+func (e *Estate) merge(from source, items []sandbarrow.KeyItem, mark Watermark) {
 	e.confirmation.observeEra(mark.Revision, items)
 	var changed []sandbarrow.KeyItem
 	for _, it := range items {
@@ -278,7 +278,7 @@
 		e.confirmation.invalidate(e.mark)
 	}
 	if sameEra || table.Version > next.Table.Version {
-		next.At = time.Now()
+		next.InForceSince = time.Now()
 	}
 	next.Table, next.Revision = table, it.Revision
 	e.logger.Info("configuration in force", "version", table.Version, "revision", it.Revision, "from", string(from))
--- a/estate/estate_test.go
+++ b/estate/estate_test.go
@@ -94,7 +94,7 @@
 				last = *v
 			}
 		}
-		items, mark := ordered.Since(Mark{})
+		items, mark := ordered.Since(Watermark{})
 		mixed.Update(items, mark.Revision)
 		a, b := ordered.View(), mixed.View()
 		if (a == nil) != (b == nil) || a != nil && a.Revision != b.Revision {
@@ -113,10 +113,10 @@
 func TestSince(t *testing.T) {
 	e := newEstate()
 	e.Update([]sandbarrow.KeyItem{table(3, "1"), {Key: "a1", Revision: 5, Value: []byte("2")}}, 8)
-	items, mark := e.Since(Mark{Revision: 3})
+	items, mark := e.Since(Watermark{Revision: 3})
 	assert.Equal(t, len(items), 1)
 	assert.Equal(t, items[0].Key, "a1")
-	assert.DeepEqual(t, mark, Mark{Revision: 8})
+	assert.DeepEqual(t, mark, Watermark{Revision: 8})
 }
 
 func TestVersionNamedBeforeTheFirstTable(t *testing.T) {
@@ -133,13 +133,13 @@
 func TestWhoBroughtAConfiguration(t *testing.T) {
 	var lines strings.Builder
 	e := New(documents{}, slog.New(slog.NewTextHandler(&lines, nil)))
-	e.Learn([]sandbarrow.KeyItem{table(1, "4")}, Mark{Revision: 1})
+	e.ApplyPeerChange([]sandbarrow.KeyItem{table(1, "4")}, Watermark{Revision: 1})
 	assert.Assert(t, strings.Contains(lines.String(), "version=4 revision=1 from=peer"), lines.String())
-	assert.Assert(t, e.Answered().IsZero())
+	assert.Assert(t, e.LastStoreResponse().IsZero())
 	e.Update([]sandbarrow.KeyItem{table(2, "6")}, 2)
 	assert.Assert(t, strings.Contains(lines.String(), "version=6 revision=2 from=store"), lines.String())
-	answered := e.Answered()
+	answered := e.LastStoreResponse()
 	assert.Assert(t, !answered.IsZero())
 	e.Update(nil, 3)
-	assert.Assert(t, !e.Answered().Before(answered))
+	assert.Assert(t, !e.LastStoreResponse().Before(answered))
 }
--- a/estate/mark.go
+++ b/estate/mark.go
@@ -10,8 +10,8 @@
 // until the operators have rewritten it.
 const maxEarlierEras = 8
 
-// Mark says up to which revisions a side knows the operators' state.
-type Mark struct {
+// Watermark says up to which revisions a side knows the operators' state.
+type Watermark struct {
 	// Revision is the revision up to which the state is complete.
 	Revision sandbarrow.StoreRevision `json:"revision"`
 	// Earlier holds one such revision for each earlier era, latest first. The store may have lost writes
@@ -20,13 +20,13 @@
 }
 
 // MayLack reports whether a side with the other mark may know an item that a side with this mark does not.
-func (m Mark) MayLack(other Mark) bool {
+func (m Watermark) MayLack(other Watermark) bool {
 	return !m.covers(other.Revision) || slices.ContainsFunc(other.Earlier, func(r sandbarrow.StoreRevision) bool { return !m.covers(r) })
 }
 
 // covers reports whether a side with this mark knows the item of a revision or a newer one of the same key.
 // Revisions of eras before those in a full Earlier count as known.
-func (m Mark) covers(r sandbarrow.StoreRevision) bool {
+func (m Watermark) covers(r sandbarrow.StoreRevision) bool {
 	if r == 0 || r.Era() >= m.Revision.Era() {
 		return r <= m.Revision
 	}
@@ -39,12 +39,12 @@
 }
 
 // merge returns the mark of a side that knows everything that either mark covers.
-func (m Mark) merge(other Mark) Mark {
+func (m Watermark) merge(other Watermark) Watermark {
 	all := slices.Concat([]sandbarrow.StoreRevision{m.Revision, other.Revision}, m.Earlier, other.Earlier)
 	slices.Sort(all)
 	slices.Reverse(all)
 	all = slices.CompactFunc(all, func(a, b sandbarrow.StoreRevision) bool { return a.Era() == b.Era() })
-	merged := Mark{Revision: all[0]}
+	merged := Watermark{Revision: all[0]}
 	for _, r := range all[1:] {
 		if r != 0 && len(merged.Earlier) < maxEarlierEras {
 			merged.Earlier = append(merged.Earlier, r)
--- a/estate/storereturn_test.go
+++ b/estate/storereturn_test.go
@@ -50,8 +50,8 @@
 	assert.Equal(t, e.View().Version(key), sandbarrow.AdapterVersion(7))
 	peer := newEstate()
 	peer.Update(append(named(rev(2, 40), "6"), table(rev(2, 1), "1")), rev(2, 50))
-	items, mark := e.Since(Mark{Revision: rev(2, 50)})
-	peer.Learn(items, mark)
+	items, mark := e.Since(Watermark{Revision: rev(2, 50)})
+	peer.ApplyPeerChange(items, mark)
 	assert.Equal(t, peer.View().Version(key), sandbarrow.AdapterVersion(7), "not learned from a peer that knew it before the restore")
 	e.Update(named(rev(2, 52), "8"), rev(2, 52))
 	assert.Equal(t, e.View().Version(key), sandbarrow.AdapterVersion(8))
@@ -69,19 +69,19 @@
 		}
 		e := newEstate()
 		e.Update([]sandbarrow.KeyItem{table(rev(2, 90), "85")}, rev(2, 104))
-		mine, _ := e.Mark()
-		theirs, _ := peer.Mark()
+		mine, _ := e.Watermark()
+		theirs, _ := peer.Watermark()
 		assert.Assert(t, mine.MayLack(theirs), name)
-		e.Learn(peer.Since(mine))
+		e.ApplyPeerChange(peer.Since(mine))
 		assert.Equal(t, e.View().Table.Version, uint64(87), name)
-		mine, _ = e.Mark()
+		mine, _ = e.Watermark()
 		assert.Assert(t, !mine.MayLack(theirs), "%s: would fetch again", name)
 	}
 }
 
 func TestMarkMerge(t *testing.T) {
-	marks := rapid.Custom(func(t *rapid.T) Mark {
-		m := Mark{Revision: rev(sandbarrow.StoreEra(rapid.IntRange(0, 3).Draw(t, "era")), uint64(rapid.IntRange(0, 4).Draw(t, "number")))}
+	marks := rapid.Custom(func(t *rapid.T) Watermark {
+		m := Watermark{Revision: rev(sandbarrow.StoreEra(rapid.IntRange(0, 3).Draw(t, "era")), uint64(rapid.IntRange(0, 4).Draw(t, "number")))}
 		for era := m.Revision.Era(); era > 0; era-- {
 			if number := uint64(rapid.IntRange(0, 4).Draw(t, "earlier number")); number > 0 {
 				m.Earlier = append(m.Earlier, rev(era-1, number))
@@ -127,9 +127,9 @@
 				sides[i].Replace([]sandbarrow.KeyItem{table(at, fmt.Sprint(store[len(store)-1]))}, at)
 			default:
 				peer := sides[rapid.IntRange(0, len(sides)-1).Draw(t, "peer")]
-				mine, _ := sides[i].Mark()
+				mine, _ := sides[i].Watermark()
 				items, mark := peer.Since(mine)
-				sides[i].Learn(items, mark)
+				sides[i].ApplyPeerChange(items, mark)
 				if a, b := peer.View(), sides[i].View(); a != nil {
 					assert.Assert(t, b != nil && b.Table.Version >= a.Table.Version, "peer did not send all that it knows")
 				}
@@ -183,7 +183,7 @@
 	e.Confirm(boottime.Now(), rev(2, 55))
 	at, _ := e.Confirmed()
 	assert.Assert(t, !at.IsZero(), "not confirmed although no restore was detected")
-	e.Learn([]sandbarrow.KeyItem{table(rev(1, 135), "4")}, Mark{Earlier: []sandbarrow.StoreRevision{rev(1, 140)}, Revision: rev(2, 110)})
+	e.ApplyPeerChange([]sandbarrow.KeyItem{table(rev(1, 135), "4")}, Watermark{Earlier: []sandbarrow.StoreRevision{rev(1, 140)}, Revision: rev(2, 110)})
 	for _, asked := range []time.Time{boottime.Now(), boottime.Now().Add(rewriteWindow / 2)} {
 		at, _ = e.Confirmed()
 		assert.Assert(t, at.IsZero())
@@ -194,9 +194,9 @@
 }
 
 func TestMarkOfManyErasIsBounded(t *testing.T) {
-	var m Mark
+	var m Watermark
 	for era := range sandbarrow.StoreEra(30) {
-		m = m.merge(Mark{Revision: rev(era, 7)})
+		m = m.merge(Watermark{Revision: rev(era, 7)})
 	}
 	assert.Equal(t, len(m.Earlier), maxEarlierEras)
 	assert.Assert(t, m.covers(rev(2, 100)), "older than the eras kept")
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -151,7 +151,7 @@
 
 // leastVersion is the least version of the adapter that may run now.
 func (c *call) leastVersion() sandbarrow.AdapterVersion {
-	return c.gateway.estate.View().LeastVersion(c.key)
+	return c.gateway.estate.View().MinVersion(c.key)
 }
 
 // readTokens reads the prompt's length in tokens from a list that begins with it.
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -104,7 +104,7 @@
 	assert.Equal(t, e.instance.ID, sandbarrow.InstanceID("e0"), "60 loads count as contention before any load has finished")
 	var last enginelink.Loads
 	for n := range 10 {
-		now := enginelink.Loads{Count: uint64(n + 1), TookMS: 260}
+		now := enginelink.Loads{Count: uint64(n + 1), LastLoadMS: 260}
 		g.learnLoads(last, now)
 		last = now
 	}
@@ -159,7 +159,7 @@
 	memory.Use(c.key, sandbarrow.WeightsVersion{Adapter: 1, Model: 1}, c.stretches)
 	changes, all, _ := memory.Changes(0)
 	for _, in := range g.directory.View().Service(testEngines)[:9] {
-		g.engines.link(in.Address).applyKept(&enginelink.Kept{All: all, Changes: changes})
+		g.engines.link(in.Address).applyKept(&enginelink.CachedPrompts{Complete: all, Changes: changes})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -79,11 +79,11 @@
 		return
 	}
 	for _, q := range pins {
-		if rpc.Notify(ctx, enginelink.MethodUsing, q) != nil {
+		if rpc.Notify(ctx, enginelink.MethodPinned, q) != nil {
 			return
 		}
 	}
-	go enginelink.AnnounceMarks(ctx, rpc, l.gateway.estate)
+	go enginelink.PublishWatermarks(ctx, rpc, l.gateway.estate)
 	l.gateway.logger.Info("controller linked", "controller", l.address)
 	for {
 		select {
@@ -92,7 +92,7 @@
 			return
 		case <-ctx.Done():
 			return
-		case <-time.After(enginelink.Heartbeat):
+		case <-time.After(enginelink.HeartbeatInterval):
 		}
 		if !l.up(boottime.Now()) {
 			l.lost("silent")
@@ -115,7 +115,7 @@
 // learnLoads follows the loads that a controller reports: last is what it reported before.
 func (g *Gateway) learnLoads(last, now enginelink.Loads) {
 	if now.Count != last.Count {
-		g.loadTimes.ObserveLoad(time.Duration(now.TookMS) * time.Millisecond)
+		g.loadTimes.ObserveLoad(time.Duration(now.LastLoadMS) * time.Millisecond)
 	}
 }
 
@@ -135,8 +135,8 @@
 			return nil, wire.Decode(r, nil)
 		}
 		return nil, l.readStatus(*r.Params)
-	case enginelink.MethodKept:
-		var k enginelink.Kept
+	case enginelink.MethodCachedPrompts:
+		var k enginelink.CachedPrompts
 		if err := wire.Decode(r, &k); err != nil {
 			return nil, err
 		}
@@ -163,22 +163,22 @@
 		if err := wire.Decode(r, &change); err != nil {
 			return nil, err
 		}
-		l.gateway.directory.Learn(change)
+		l.gateway.directory.ApplyPeerChange(change)
 		return nil, nil
-	case enginelink.MethodLeads:
-		var leads enginelink.Leads
+	case enginelink.MethodLedShards:
+		var leads enginelink.LedShards
 		if err := wire.Decode(r, &leads); err != nil {
 			return nil, err
 		}
 		l.gateway.leads.learn(l, &leads)
 		return nil, nil
-	case enginelink.MethodMark:
-		var m enginelink.Mark
+	case enginelink.MethodWatermark:
+		var m enginelink.Watermark
 		if err := wire.Decode(r, &m); err != nil {
 			return nil, err
 		}
 		if rpc := l.connection(); rpc != nil {
-			go enginelink.FollowMark(ctx, rpc, l.gateway.estate, m, enginelink.WatchLead)
+			go enginelink.FollowWatermark(ctx, rpc, l.gateway.estate, m, enginelink.StoreWatchGrace)
 		}
 		return nil, nil
 	case enginelink.MethodFetch:
@@ -194,12 +194,12 @@
 	if rpc == nil {
 		return g, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+enginelink.LoadPatience+acquireSlack)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+enginelink.ExtraLoadWait+acquireSlack)
 	defer cancel()
 	err := rpc.Call(ctx, enginelink.MethodAcquire, q, &g)
 	if err != nil {
 		// The grant may still come; it must not pin its adapter.
-		_ = rpc.Notify(context.WithoutCancel(ctx), enginelink.MethodDone, enginelink.Pin{ID: q.ID})
+		_ = rpc.Notify(context.WithoutCancel(ctx), enginelink.MethodUnpin, enginelink.Pin{ID: q.ID})
 	}
 	if err == nil && g.Refused == "" {
 		l.addPin(q)
@@ -212,7 +212,7 @@
 func (l *controllerLink) report(method string, id sandbarrow.RequestID) {
 	l.mu.Lock()
 	rpc := l.rpc
-	if method == enginelink.MethodDone {
+	if method == enginelink.MethodUnpin {
 		delete(l.pins, id)
 	}
 	l.mu.Unlock()
@@ -228,6 +228,6 @@
 func (l *controllerLink) takePin(ctx context.Context, q *enginelink.Acquire) {
 	l.addPin(q)
 	if rpc := l.connection(); rpc != nil {
-		_ = rpc.Notify(context.WithoutCancel(ctx), enginelink.MethodUsing, q)
+		_ = rpc.Notify(context.WithoutCancel(ctx), enginelink.MethodPinned, q)
 	}
 }
--- a/gateway/crashkeeper.go
+++ b/gateway/crashkeeper.go
@@ -96,7 +96,7 @@
 // keep writes what has changed and is worth it, and removes what is forgotten. What fails is
 // tried again.
 func (k *crashKeeper) keep(ctx context.Context) {
-	k.resetOnRestore(k.gateway.directory.Mark().Era())
+	k.resetOnRestore(k.gateway.directory.Watermark().Era())
 	least := 1
 	if k.gateway.engines.anyUp() {
 		least = keptFrom
--- a/gateway/enginesearch_test.go
+++ b/gateway/enginesearch_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, s.acquires, 0)
 	for range maxAcquires {
 		assert.Assert(t, s.mayContinue())
-		acquire(enginelink.RefuseSlots)
+		acquire(enginelink.RefuseNoSlot)
 	}
 	assert.Assert(t, !s.mayContinue())
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -136,7 +136,7 @@
 	c.Metrics.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "sandbarrow_gateway_entries_refused_total", Help: "Entries in the list of upstreams that named none.",
-		}, func() float64 { return float64(g.directory.Refused()) }),
+		}, func() float64 { return float64(g.directory.RefusedEntries()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "sandbarrow_gateway_limited_upstreams", Help: "Upstreams that name a limit on requests in their answers.",
 		}, g.upstreams.limited),
@@ -178,7 +178,7 @@
 	}
 	var group errgroup.Group
 	estateWatch := prefixwatch.Watch{
-		Confirmed: g.estate.ConfirmAll, Consumer: g.estate, Logger: g.logger, Prefix: g.config.Documents.Prefix(), Sharing: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
+		OnFullRead: g.estate.ConfirmAll, Consumer: g.estate, Logger: g.logger, Prefix: g.config.Documents.Prefix(), ProcessCount: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
 	}
 	group.Go(func() error { return estateWatch.Run(work) })
 	group.Go(func() error { return g.listWatch().Run(work) })
@@ -215,7 +215,7 @@
 // after a start while new ones are listed one after the other, or while a
 // service has none.
 func (g *Gateway) awaitsUpstreams() bool {
-	if boottime.Since(g.started) < startTime && boottime.Since(g.directory.LastNew()) < listingTime {
+	if boottime.Since(g.started) < startTime && boottime.Since(g.directory.LastAdded()) < listingTime {
 		return true
 	}
 	view := g.estate.View()
--- a/gateway/linkstate.go
+++ b/gateway/linkstate.go
@@ -204,10 +204,10 @@
 }
 
 // applyKept follows what the engine keeps of the prompts it has read.
-func (l *linkState) applyKept(k *enginelink.Kept) {
+func (l *linkState) applyKept(k *enginelink.CachedPrompts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept.Apply(k.Changes, k.All)
+	l.kept.Apply(k.Changes, k.Complete)
 }
 
 // connection returns the connection to the controller, or nil.
--- a/gateway/listanswer.go
+++ b/gateway/listanswer.go
@@ -26,12 +26,12 @@
 // since returns the whole list, or no more than its revision to a peer that has no older
 // one.
 func (l *listAnswer) since(known sandbarrow.StoreRevision) (json.RawMessage, error) {
-	if at := l.directory.Mark(); known >= at {
+	if at := l.directory.Watermark(); known >= at {
 		return encodeList(nil, at)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.text != nil && l.at == l.directory.Mark() {
+	if l.text != nil && l.at == l.directory.Watermark() {
 		return l.text, nil
 	}
 	items, at := l.directory.Items()
@@ -44,6 +44,6 @@
 }
 
 func encodeList(items []sandbarrow.KeyItem, at sandbarrow.StoreRevision) (json.RawMessage, error) {
-	text, err := json.Marshal(enginelink.Estate{Items: items, Mark: at})
+	text, err := json.Marshal(enginelink.Estate{Items: items, Watermark: at})
 	return text, errors.Trace(err)
 }
--- a/gateway/listwatch.go
+++ b/gateway/listwatch.go
@@ -23,8 +23,8 @@
 // only where nothing arrived in time.
 func (g *Gateway) listWatch() *prefixwatch.Watch {
 	return &prefixwatch.Watch{
-		Age: g.directory.Age, Busy: true, Consumer: sharedList{g}, Expecting: g.awaitsUpstreams, Logger: g.logger, Mark: g.directory.Mark,
-		Pace: time.Duration(listShare * float64(g.config.LeaveBound)), Prefix: g.config.Instances.Prefix(), Sharing: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
+		Age: g.directory.Age, Busy: true, Consumer: sharedList{g}, Expecting: g.awaitsUpstreams, Logger: g.logger, Watermark: g.directory.Watermark,
+		MinInterval: time.Duration(listShare * float64(g.config.LeaveBound)), Prefix: g.config.Instances.Prefix(), ProcessCount: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
 	}
 }
 
--- a/gateway/passanswer.go
+++ b/gateway/passanswer.go
@@ -99,7 +99,7 @@
 	if !e.linked {
 		return
 	}
-	e.link.report(enginelink.MethodBegun, sandbarrow.RequestID(c.id))
+	e.link.report(enginelink.MethodResponseStarted, sandbarrow.RequestID(c.id))
 	e.link.addTokens(c.priority(), -c.unread)
 	c.unread = 0
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -52,7 +52,7 @@
 		case enginelink.MethodCrashes:
 			return g.serveCrashes(r)
 		case methodInstances:
-			var known enginelink.Mark
+			var known enginelink.Watermark
 			if err := wire.Decode(r, &known); err != nil {
 				return nil, err
 			}
@@ -78,7 +78,7 @@
 	eraKnown := false
 	for ctx.Err() == nil {
 		known := g.estate.View() != nil && g.directory.View() != nil
-		current := g.directory.Mark().Era()
+		current := g.directory.Watermark().Era()
 		switch {
 		case !known:
 			pause.For(ctx, peerPause)
@@ -145,17 +145,17 @@
 	}
 	defer rpc.Close()
 	var list enginelink.Estate
-	if err := rpc.Call(ctx, methodInstances, enginelink.Mark{Revision: g.directory.Mark()}, &list); err != nil {
+	if err := rpc.Call(ctx, methodInstances, enginelink.Watermark{Revision: g.directory.Watermark()}, &list); err != nil {
 		return false, err
 	}
-	before, _ := g.estate.Mark()
+	before, _ := g.estate.Watermark()
 	if err := enginelink.Fetch(ctx, rpc, g.estate); err != nil {
 		return false, err
 	}
-	after, _ := g.estate.Mark()
-	adopted := g.directory.Adopt(list.Items, list.Mark)
+	after, _ := g.estate.Watermark()
+	adopted := g.directory.ApplyPeerList(list.Items, list.Watermark)
 	if adopted {
-		g.logger.Info("upstreams learnt from a peer", "peer", address, "upstreams", len(list.Items), "revision", list.Mark)
+		g.logger.Info("upstreams learnt from a peer", "peer", address, "upstreams", len(list.Items), "revision", list.Watermark)
 	}
 	return adopted || before.MayLack(after), nil
 }
--- a/gateway/peers_test.go
+++ b/gateway/peers_test.go
@@ -94,14 +94,14 @@
 	assert.NilError(t, err)
 	var got enginelink.Estate
 	assert.NilError(t, json.Unmarshal(text, &got))
-	assert.Equal(t, got.Mark, sandbarrow.StoreRevision(7))
+	assert.Equal(t, got.Watermark, sandbarrow.StoreRevision(7))
 	assert.Equal(t, len(got.Items), 0)
 
 	g.directory.Update([]sandbarrow.KeyItem{{Key: "up/e3", Deleted: true, Revision: 9}}, 9)
 	text, err = g.list.since(7)
 	assert.NilError(t, err)
 	assert.NilError(t, json.Unmarshal(text, &got))
-	assert.Equal(t, got.Mark, sandbarrow.StoreRevision(9))
+	assert.Equal(t, got.Watermark, sandbarrow.StoreRevision(9))
 	assert.Equal(t, len(got.Items), upstreams-1)
 }
 
--- a/gateway/promptmove_test.go
+++ b/gateway/promptmove_test.go
@@ -131,7 +131,7 @@
 	c, e := newMovingCall(t)
 	link := e.move.source.link
 	s := statusWithWeights(oldWeights)
-	s.Loads = enginelink.Loads{Count: 5, TookMS: 260}
+	s.Loads = enginelink.Loads{Count: 5, LastLoadMS: 260}
 	s.Speed = readspeed.Speed{Base: time.Millisecond, PerToken: time.Microsecond}
 	s.Token = 41
 	link.applyStatus(s)
@@ -166,7 +166,7 @@
 	memory.SetCapacity(100_000)
 	memory.Use(testKey, oldWeights, c.stretches)
 	changes, all, _ := memory.Changes(0)
-	link.applyKept(&enginelink.Kept{All: all, Changes: changes})
+	link.applyKept(&enginelink.CachedPrompts{Complete: all, Changes: changes})
 	e := &candidate{granted: oldWeights, move: promptMove{
 		source: cachedSource{instance: source, link: link, tokens: 8000, weights: oldWeights}, tokens: 8000,
 	}}
@@ -199,7 +199,7 @@
 			s.EngineUnreachable = true
 			l.applyStatus(s)
 		}, moveNotCached},
-		"the source has evicted the prefix": {func(_ *call, _ *candidate, l *controllerLink) { l.applyKept(&enginelink.Kept{All: true}) }, moveNotCached},
+		"the source has evicted the prefix": {func(_ *call, _ *candidate, l *controllerLink) { l.applyKept(&enginelink.CachedPrompts{Complete: true}) }, moveNotCached},
 		"the source's controller sends no heartbeats": {func(_ *call, _ *candidate, l *controllerLink) {
 			l.mu.Lock()
 			l.lastContact = boottime.Now().Add(-enginelink.HeartbeatTimeout)
--- a/gateway/quotaleads.go
+++ b/gateway/quotaleads.go
@@ -62,7 +62,7 @@
 }
 
 // learn applies what a controller announces.
-func (q *quotaLeads) learn(l *controllerLink, leads *enginelink.Leads) {
+func (q *quotaLeads) learn(l *controllerLink, leads *enginelink.LedShards) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	led := map[quota.Shard]bool{}
@@ -149,7 +149,7 @@
 
 // linksSettled reports whether the links that are up are most of those that will be.
 func (g *Gateway) linksSettled(up int) bool {
-	if boottime.Since(g.directory.LastNew()) < settledAfter {
+	if boottime.Since(g.directory.LastAdded()) < settledAfter {
 		return false
 	}
 	known := g.engines.count()
--- a/gateway/sendpermits.go
+++ b/gateway/sendpermits.go
@@ -17,11 +17,11 @@
 	gateway *Gateway
 	keepers *sendkeepers.Coordinators
 	// kept grants sends to all peers where this gateway is asked.
-	kept *enginelink.SendKeeper
+	kept *enginelink.SendCoordinator
 }
 
 func newSendPermits(g *Gateway) *sendPermits {
-	p := &sendPermits{gateway: g, kept: enginelink.NewSendKeeper(1)}
+	p := &sendPermits{gateway: g, kept: enginelink.NewSendCoordinator(1)}
 	p.keepers = sendkeepers.New(sendkeepers.Config{
 		Controllers: p.controllers, Logger: g.logger, Own: p.kept, PeerAddress: g.config.PeerAddress, Peers: g.config.Peers,
 	})
@@ -61,7 +61,7 @@
 	case !need:
 		return &sendPermit{}, true
 	}
-	grant := p.keepers.RequestSend(ctx, enginelink.Send{Record: record, WithinMS: within.Milliseconds()})
+	grant := p.keepers.RequestSend(ctx, enginelink.Send{Record: record, MaxWaitMS: within.Milliseconds()})
 	p.gateway.upstreams.endAsk(in.ID, &grant, within)
 	outcome := "refused"
 	if grant.Granted {
--- a/gateway/serveengine.go
+++ b/gateway/serveengine.go
@@ -150,7 +150,7 @@
 	wait := min(maxWait, c.left())
 	request := &enginelink.Acquire{
 		Adapter: c.key.Adapter, ID: sandbarrow.RequestID(c.id), Instance: e.instance.ID, Model: c.key.Model,
-		MostWaiting: e.maxWaitingTokens(), Priority: c.priority(), Stretches: c.stretches, Tokens: c.tokens, Version: c.version, UsefulMS: c.objectiveSlack(e).Milliseconds(),
+		MaxWaitingTokens: e.maxWaitingTokens(), Priority: c.priority(), PromptPrefixes: c.stretches, Tokens: c.tokens, Version: c.version, SlackMS: c.objectiveSlack(e).Milliseconds(),
 		WaitMS: max(1, wait.Milliseconds()),
 	}
 	if !e.linked {
@@ -185,7 +185,7 @@
 // unpin releases the pin at an engine.
 func (c *call) unpin(e *candidate) {
 	if e.link != nil {
-		e.link.report(enginelink.MethodDone, sandbarrow.RequestID(c.id))
+		e.link.report(enginelink.MethodUnpin, sandbarrow.RequestID(c.id))
 	}
 }
 
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -42,12 +42,12 @@
 		near, far := net.Pipe()
 		leader := jsonrpc2.NewConn(t.Context(), wire.NewStream(far), wire.Handler(func(context.Context, *jsonrpc2.Request) (any, error) {
 			boottime.Suspend(time.Second) // while the answer is on its way
-			return enginelink.Taken{Granted: true, LifeMS: 500}, nil
+			return enginelink.QuotaGrant{Granted: true, ValidForMS: 500}, nil
 		}))
 		defer leader.Close()
 		l := &controllerLink{gateway: g}
 		l.reconnect(jsonrpc2.NewConn(t.Context(), wire.NewStream(near), wire.Handler(func(context.Context, *jsonrpc2.Request) (any, error) { return nil, nil })))
-		g.leads.learn(l, &enginelink.Leads{Terms: []enginelink.LeadTerm{{Shard: 1, Term: 3}}})
+		g.leads.learn(l, &enginelink.LedShards{Terms: []enginelink.ShardTerm{{Shard: 1, Term: 3}}})
 		c := &call{gateway: g}
 		c.workspace = &access.Workspace{ID: "red"}
 		_, ok := c.askLeader(t.Context(), quota.Shard(1))
--- a/gateway/takequota.go
+++ b/gateway/takequota.go
@@ -31,7 +31,7 @@
 // quotaAsk is what came of asking for what a request counts, for its log line.
 type quotaAsk struct {
 	asks  int
-	taken enginelink.Taken
+	taken enginelink.QuotaGrant
 	// term is that of the leader that was asked last.
 	term  quota.Term
 	units int64
@@ -46,7 +46,7 @@
 	}
 	return []slog.Attr{
 		slog.Int64("units", q.units), slog.Int("quota_asks", q.asks), slog.Uint64("quota_term", uint64(q.term)),
-		slog.Int64("quota_wait_ms", q.waited.Milliseconds()), slog.Int64("quota_retry_ms", q.taken.RetryMS),
+		slog.Int64("quota_wait_ms", q.waited.Milliseconds()), slog.Int64("quota_retry_ms", q.taken.RetryAfterMS),
 	}
 }
 
@@ -105,12 +105,12 @@
 			found.granted = true
 			return found
 		default:
-			again := time.Duration(taken.RetryMS) * time.Millisecond
+			again := time.Duration(taken.RetryAfterMS) * time.Millisecond
 			if found.refused == 0 || again < found.again {
 				found.again = again
 			}
 			found.refused++
-			found.young = found.young || taken.Young
+			found.young = found.young || taken.NewTerm
 		}
 	}
 	return found
@@ -118,7 +118,7 @@
 
 // askLeader asks the leader of one shard. ok is false where there is none, or its answer
 // came too late to be used.
-func (c *call) askLeader(ctx context.Context, shard quota.Shard) (taken enginelink.Taken, ok bool) {
+func (c *call) askLeader(ctx context.Context, shard quota.Shard) (taken enginelink.QuotaGrant, ok bool) {
 	link, term := c.gateway.leads.leader(shard)
 	if link == nil {
 		return taken, false
@@ -131,12 +131,12 @@
 	defer cancel()
 	c.quota.asks, c.quota.term = c.quota.asks+1, term
 	asked := boottime.Now()
-	err := rpc.Call(ctx, enginelink.MethodTake, enginelink.Take{Shard: shard, Units: c.quota.units, Workspace: c.workspace.ID}, &taken)
+	err := rpc.Call(ctx, enginelink.MethodAcquireQuota, enginelink.AcquireQuota{Shard: shard, Units: c.quota.units, Workspace: c.workspace.ID}, &taken)
 	c.quota.taken = taken
-	if err != nil || taken.NotLeading {
+	if err != nil || taken.NotLeader {
 		c.gateway.leads.doubt(shard, term)
 		return taken, false
 	}
-	late := taken.Granted && boottime.Since(asked) >= time.Duration(taken.LifeMS)*time.Millisecond
+	late := taken.Granted && boottime.Since(asked) >= time.Duration(taken.ValidForMS)*time.Millisecond
 	return taken, !late
 }
--- a/gateway/trust.go
+++ b/gateway/trust.go
@@ -67,16 +67,16 @@
 // stateAttributes describe how new the operators' state is by which a request had no route:
 // up to which revision it is complete, and for how long the store has answered nothing.
 func (g *Gateway) stateAttributes() []slog.Attr {
-	complete, _ := g.estate.Mark()
+	complete, _ := g.estate.Watermark()
 	return []slog.Attr{
-		slog.Any("complete_to", complete.Revision), slog.Int64("store_answered_ms", sinceMS(g.estate.Answered())),
+		slog.Any("complete_to", complete.Revision), slog.Int64("store_answered_ms", sinceMS(g.estate.LastStoreResponse())),
 	}
 }
 
 // answeredSeconds is how long ago the store last answered about the operators' state, in
 // seconds; -1 where it never did.
 func (g *Gateway) answeredSeconds() float64 {
-	answered := g.estate.Answered()
+	answered := g.estate.LastStoreResponse()
 	if answered.IsZero() {
 		return -1
 	}
@@ -102,7 +102,7 @@
 
 // storeEra returns the store's era when the list of upstreams was read.
 func (g *Gateway) storeEra() float64 {
-	return float64(g.directory.Mark().Era())
+	return float64(g.directory.Watermark().Era())
 }
 
 // confirmedSeconds is how long ago the configuration was known to be the newest, in
--- a/gateway/unreportedpin_test.go
+++ b/gateway/unreportedpin_test.go
@@ -69,7 +69,7 @@
 	c := linkedTo(t, l)
 	c.send(t)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
-	c.expect(t, enginelink.MethodUsing)
+	c.expect(t, enginelink.MethodPinned)
 }
 
 func TestPinDuringASilenceIsReported(t *testing.T) {
@@ -82,5 +82,5 @@
 	l.mu.Unlock()
 	c.send(t)
 	assert.NilError(t, c.rpc.Notify(t.Context(), enginelink.MethodStatus, statusWithWeights(oldWeights)))
-	c.expect(t, enginelink.MethodUsing)
+	c.expect(t, enginelink.MethodPinned)
 }
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -23,7 +23,7 @@
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		faulty := &storetest.Store{
-			Below: store.NewMemory(store.WithMemoryClock(clock)),
+			Inner: store.NewMemory(store.WithMemoryClock(clock)),
 			Next:  func() storetest.Fault { return storetest.Fault(rapid.IntRange(0, 7).Draw(rt, "fault") % 5 % 4) },
 		}
 		holders := []*Holder{
@@ -54,13 +54,13 @@
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	next := storetest.None
-	s := &storetest.Store{Below: store.NewMemory(store.WithMemoryClock(clock)), Next: func() storetest.Fault { return next }}
+	s := &storetest.Store{Inner: store.NewMemory(store.WithMemoryClock(clock)), Next: func() storetest.Fault { return next }}
 	h := NewHolder(s, "k", ttl, discardLogger(), WithClock(clock))
 	assert.Equal(t, h.Check().State, Lost)
 	assert.NilError(t, h.Step(context.Background()))
 	held := h.Check()
 	assert.Equal(t, held.State, Held)
-	next = storetest.Down
+	next = storetest.Unavailable
 	now = now.Add(ttl)
 	assert.Equal(t, h.Check().State, Lost, "expired, before the next call to the store")
 	assert.Assert(t, h.Step(context.Background()) != nil)
--- a/lease/storerestore_test.go
+++ b/lease/storerestore_test.go
@@ -19,7 +19,7 @@
 		clock := func() time.Time { return now }
 		memory := store.NewMemory(store.WithMemoryClock(clock))
 		faulty := &storetest.Store{
-			Below: memory,
+			Inner: memory,
 			Next:  func() storetest.Fault { return storetest.Fault(rapid.IntRange(0, 7).Draw(rt, "fault") % 5 % 4) },
 		}
 		holders := make([]*Holder, 3)
--- a/prefixwatch/prefixwatch.go
+++ b/prefixwatch/prefixwatch.go
@@ -56,10 +56,10 @@
 	// and need not wait longer where many processes share it.
 	Busy     bool
 	Consumer Consumer
-	// Confirmed is told of each read of all of the prefix, after the consumer has applied it:
+	// OnFullRead is told of each read of all of the prefix, after the consumer has applied it:
 	// what stood there, and when the store was asked. A watch tells nothing of that kind:
 	// one may hear nothing for a while before its history is dropped. nil is not told.
-	Confirmed func(asked time.Time, items []sandbarrow.KeyItem)
+	OnFullRead func(asked time.Time, items []sandbarrow.KeyItem)
 	// Covered says that other processes bring what changes, so that no call is made;
 	// nil never does.
 	Covered func() bool
@@ -67,16 +67,16 @@
 	// place of a longer Pace; nil never does.
 	Expecting func() bool
 	Logger    *slog.Logger
-	// Mark is the revision up to which the consumer is complete, where other processes
+	// Watermark is the revision up to which the consumer is complete, where other processes
 	// bring changes too.
-	Mark func() sandbarrow.StoreRevision
-	// Pace is the shortest time between two watches, so that a busy prefix
+	Watermark func() sandbarrow.StoreRevision
+	// MinInterval is the shortest time between two watches, so that a busy prefix
 	// costs few calls; changes in between arrive together.
-	Pace   time.Duration
+	MinInterval   time.Duration
 	Prefix string
-	// Sharing is how many processes follow the prefix and tell each other of each change,
+	// ProcessCount is how many processes follow the prefix and tell each other of each change,
 	// this one among them; nil is this one alone.
-	Sharing func() int
+	ProcessCount func() int
 	Store   sandbarrow.PrefixStore
 	// Wait is the longest wait of one watch call of a process alone.
 	Wait time.Duration
@@ -122,8 +122,8 @@
 			backoff = min(2*backoff, sharedPause(w.sharing()))
 			w.waitWhileFresh(ctx)
 		}
-		if known && w.Mark != nil {
-			at = max(at, w.Mark())
+		if known && w.Watermark != nil {
+			at = max(at, w.Watermark())
 		}
 	}
 	return nil
@@ -154,17 +154,17 @@
 
 // sharing is how many processes share what they read.
 func (w *Watch) sharing() int {
-	if w.Sharing == nil {
+	if w.ProcessCount == nil {
 		return 1
 	}
-	return w.Sharing()
+	return w.ProcessCount()
 }
 
 func (w *Watch) pace() time.Duration {
 	if w.Expecting != nil && w.Expecting() {
-		return min(w.Pace, expectingPace)
+		return min(w.MinInterval, expectingPace)
 	}
-	return w.Pace
+	return w.MinInterval
 }
 
 // step reads all of the prefix or, if that is known, watches it once. After a failed call the watch does not
@@ -178,8 +178,8 @@
 		if err == nil {
 			w.Consumer.Replace(items, at)
 		}
-		if err == nil && w.Confirmed != nil {
-			w.Confirmed(asked, items)
+		if err == nil && w.OnFullRead != nil {
+			w.OnFullRead(asked, items)
 		}
 		return at, err
 	}
--- a/prefixwatch/prefixwatch_test.go
+++ b/prefixwatch/prefixwatch_test.go
@@ -101,7 +101,7 @@
 	v := &view{}
 	put(t, f, "p/a", "1")
 	put(t, f, "q/a", "other")
-	w := Watch{Consumer: v, Logger: slog.New(slog.DiscardHandler), Pace: pace, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond}
+	w := Watch{Consumer: v, Logger: slog.New(slog.DiscardHandler), MinInterval: pace, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
@@ -133,7 +133,7 @@
 		f := &faulty{Memory: store.NewMemory()}
 		v := &view{}
 		put(t, f, "p/a", "1")
-		w := Watch{Consumer: v, Logger: slog.New(slog.DiscardHandler), Prefix: "p/", Sharing: func() int { return processes }, Store: f, Wait: 20 * time.Millisecond}
+		w := Watch{Consumer: v, Logger: slog.New(slog.DiscardHandler), Prefix: "p/", ProcessCount: func() int { return processes }, Store: f, Wait: 20 * time.Millisecond}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- w.Run(ctx) }()
@@ -215,7 +215,7 @@
 	f := &faulty{Memory: store.NewMemory()}
 	v := &view{}
 	w := Watch{
-		Consumer: v, Expecting: func() bool { return true }, Logger: slog.New(slog.DiscardHandler), Pace: time.Hour, Prefix: "p/",
+		Consumer: v, Expecting: func() bool { return true }, Logger: slog.New(slog.DiscardHandler), MinInterval: time.Hour, Prefix: "p/",
 		Store: f, Wait: 50 * time.Millisecond,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -253,8 +253,8 @@
 	told.Store(time.Now().UnixNano())
 	w := Watch{
 		Age:      func() time.Duration { return time.Duration(time.Now().UnixNano() - told.Load()) },
-		Consumer: v, Logger: slog.New(slog.DiscardHandler), Mark: func() sandbarrow.StoreRevision { return 1 },
-		Pace: 300 * time.Millisecond, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond,
+		Consumer: v, Logger: slog.New(slog.DiscardHandler), Watermark: func() sandbarrow.StoreRevision { return 1 },
+		MinInterval: 300 * time.Millisecond, Prefix: "p/", Store: f, Wait: 50 * time.Millisecond,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/prefixwatch/silent_test.go
+++ b/prefixwatch/silent_test.go
@@ -99,7 +99,7 @@
 	t.Helper()
 	v := &view{}
 	w := Watch{
-		Busy: busy, Consumer: v, Logger: slog.New(slog.DiscardHandler), Prefix: "p/", Sharing: func() int { return processes }, Store: s, Wait: DefaultWait,
+		Busy: busy, Consumer: v, Logger: slog.New(slog.DiscardHandler), Prefix: "p/", ProcessCount: func() int { return processes }, Store: s, Wait: DefaultWait,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/quota/leader/leader.go
+++ b/quota/leader/leader.go
@@ -114,7 +114,7 @@
 		if view != nil && view.Table.Keys != nil {
 			break
 		}
-		_, changed := l.config.Estate.Mark()
+		_, changed := l.config.Estate.Watermark()
 		if l.config.Estate.View() != view {
 			continue
 		}
@@ -140,41 +140,41 @@
 	return nil
 }
 
-// Leads returns the shards that this process leads now, in order, and a channel that is closed
+// LedShards returns the shards that this process leads now, in order, and a channel that is closed
 // when they change.
-func (l *Leader) Leads() (enginelink.Leads, <-chan struct{}) {
+func (l *Leader) LedShards() (enginelink.LedShards, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	leads := enginelink.Leads{Terms: []enginelink.LeadTerm{}}
+	leads := enginelink.LedShards{Terms: []enginelink.ShardTerm{}}
 	for s, t := range l.terms {
-		leads.Terms = append(leads.Terms, enginelink.LeadTerm{Shard: s, Term: t.number})
+		leads.Terms = append(leads.Terms, enginelink.ShardTerm{Shard: s, Term: t.number})
 	}
-	slices.SortFunc(leads.Terms, func(a, b enginelink.LeadTerm) int { return int(a.Shard - b.Shard) })
+	slices.SortFunc(leads.Terms, func(a, b enginelink.ShardTerm) int { return int(a.Shard - b.Shard) })
 	return leads, l.changed
 }
 
-// Take grants or refuses the units of a request.
-func (l *Leader) Take(q *enginelink.Take) enginelink.Taken {
+// AcquireQuota grants or refuses the units of a request.
+func (l *Leader) AcquireQuota(q *enginelink.AcquireQuota) enginelink.QuotaGrant {
 	// The time is read before the lease is checked. A process that freezes in between then
 	// grants as of a time at which it held the lease.
 	now := boottime.Now()
 	view := l.config.Estate.View()
 	if view == nil {
-		return enginelink.Taken{NotLeading: true}
+		return enginelink.QuotaGrant{NotLeader: true}
 	}
 	w := view.Table.Keys.Workspace(q.Workspace)
 	if w == nil {
-		return enginelink.Taken{NotLeading: true}
+		return enginelink.QuotaGrant{NotLeader: true}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.terms[q.Shard]
 	shards := quota.ShardsOf(q.Workspace)
 	if t == nil || !t.isLeased() || !slices.Contains(shards[:], q.Shard) {
-		return enginelink.Taken{NotLeading: true}
+		return enginelink.QuotaGrant{NotLeader: true}
 	}
 	g := t.granter.Acquire(now, w.ID, &w.Limit, q.Units)
-	return enginelink.Taken{Granted: g.Granted, LifeMS: g.TTL.Milliseconds(), RetryMS: g.RetryAfter.Milliseconds(), Young: g.Young}
+	return enginelink.QuotaGrant{Granted: g.Granted, ValidForMS: g.TTL.Milliseconds(), RetryAfterMS: g.RetryAfter.Milliseconds(), NewTerm: g.NewTerm}
 }
 
 // beginTerm starts a term.
--- a/quota/leader/leader_test.go
+++ b/quota/leader/leader_test.go
@@ -68,7 +68,7 @@
 }
 
 func (l *Leader) leads(s quota.Shard) bool {
-	leads, _ := l.Leads()
+	leads, _ := l.LedShards()
 	for _, t := range leads.Terms {
 		if t.Shard == s {
 			return true
@@ -97,10 +97,10 @@
 		second.Nominate(enginelink.Lead{Shard: shard})
 		assert.Assert(t, !second.leads(shard))
 	}
-	before, _ := first.Leads()
+	before, _ := first.LedShards()
 	stopFirst()
 	second.nominateUntil(t, shard, func() bool { return second.leads(shard) })
-	after, _ := second.Leads()
+	after, _ := second.LedShards()
 	assert.Assert(t, after.Terms[0].Term > before.Terms[0].Term)
 }
 
@@ -123,19 +123,19 @@
 	s := store.NewMemory()
 	shards := quota.ShardsOf("red")
 	l, stop := start(t, s, "box-1")
-	assert.Assert(t, l.Take(&enginelink.Take{Shard: shards[0], Units: 1, Workspace: "red"}).NotLeading)
+	assert.Assert(t, l.AcquireQuota(&enginelink.AcquireQuota{Shard: shards[0], Units: 1, Workspace: "red"}).NotLeader)
 	l.nominateUntil(t, shards[0], func() bool {
-		return l.Take(&enginelink.Take{Shard: shards[0], Units: 1, Workspace: "red"}).Granted
+		return l.AcquireQuota(&enginelink.AcquireQuota{Shard: shards[0], Units: 1, Workspace: "red"}).Granted
 	})
-	for _, q := range []enginelink.Take{
+	for _, q := range []enginelink.AcquireQuota{
 		{Shard: shards[1], Units: 1, Workspace: "red"}, {Shard: shards[0], Units: 1, Workspace: "green"}, {Shard: -1, Units: 1, Workspace: "red"}, {Shard: 99, Units: 1, Workspace: "red"},
 	} {
-		assert.Assert(t, l.Take(&q).NotLeading, "%+v", q)
+		assert.Assert(t, l.AcquireQuota(&q).NotLeader, "%+v", q)
 	}
-	refused := l.Take(&enginelink.Take{Shard: shards[0], Units: 1_000_000, Workspace: "red"})
-	assert.Assert(t, !refused.Granted && refused.RetryMS > 0 && refused.Young)
+	refused := l.AcquireQuota(&enginelink.AcquireQuota{Shard: shards[0], Units: 1_000_000, Workspace: "red"})
+	assert.Assert(t, !refused.Granted && refused.RetryAfterMS > 0 && refused.NewTerm)
 	stop()
-	assert.Assert(t, l.Take(&enginelink.Take{Shard: shards[0], Units: 1, Workspace: "red"}).NotLeading, "the stopped leader has released its lease")
+	assert.Assert(t, l.AcquireQuota(&enginelink.AcquireQuota{Shard: shards[0], Units: 1, Workspace: "red"}).NotLeader, "the stopped leader has released its lease")
 }
 
 func TestRestartedLeaderTakesOverOwnLease(t *testing.T) {
@@ -157,7 +157,7 @@
 	defer stopRestarted()
 	await.Until(t, 8*time.Second, "the shard is led again", func() bool { return restarted.leads(5) })
 	assert.Assert(t, !other.leads(5))
-	leads, _ := restarted.Leads()
+	leads, _ := restarted.LedShards()
 	assert.Assert(t, uint64(leads.Terms[0].Term) > uint64(item.Revision))
 }
 
@@ -181,16 +181,16 @@
 	memory := store.NewMemory()
 	empty := memory.Copy()
 	var disconnected atomic.Bool
-	first, stopFirst := startWith(t, memory, &storetest.Store{Below: memory, Next: func() storetest.Fault {
+	first, stopFirst := startWith(t, memory, &storetest.Store{Inner: memory, Next: func() storetest.Fault {
 		if disconnected.Load() {
-			return storetest.Down
+			return storetest.Unavailable
 		}
 		return storetest.None
 	}}, "box-1")
 	defer stopFirst()
 	shard := quota.ShardsOf("red")[0]
 	leads := func(l *Leader) bool {
-		return !l.Take(&enginelink.Take{Shard: shard, Units: 1, Workspace: "red"}).NotLeading
+		return !l.AcquireQuota(&enginelink.AcquireQuota{Shard: shard, Units: 1, Workspace: "red"}).NotLeader
 	}
 	first.nominateUntil(t, shard, func() bool { return leads(first) })
 	disconnected.Store(true)
--- a/quota/leader/suspension_test.go
+++ b/quota/leader/suspension_test.go
@@ -19,10 +19,10 @@
 	defer stop()
 	shard := quota.ShardsOf("red")[0]
 	l.Nominate(enginelink.Lead{Shard: shard})
-	acquire := func() enginelink.Taken { return l.Take(&enginelink.Take{Shard: shard, Units: 1, Workspace: "red"}) }
+	acquire := func() enginelink.QuotaGrant { return l.AcquireQuota(&enginelink.AcquireQuota{Shard: shard, Units: 1, Workspace: "red"}) }
 	await.Until(t, 5*time.Second, "a grant", func() bool { return acquire().Granted })
 	boottime.Suspend(ttl)
 	reply := acquire()
 	assert.Check(t, !reply.Granted)
-	assert.Check(t, reply.NotLeading)
+	assert.Check(t, reply.NotLeader)
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -79,7 +79,7 @@
 func newSimulation(brokenRule mutation) *simulation {
 	s := &simulation{limit: modelHigh, now: time.Unix(1000, 0), brokenRule: brokenRule}
 	s.store = &storetest.Store{
-		Below: store.NewMemory(store.WithMemoryClock(s.clockNow)),
+		Inner: store.NewMemory(store.WithMemoryClock(s.clockNow)),
 		Next:  func() storetest.Fault { return s.fault },
 	}
 	for i := range s.leaders {
@@ -162,11 +162,11 @@
 	func(s *simulation) { s.renew(1, storetest.None) },
 	func(s *simulation) { s.acquireAll(0) },
 	func(s *simulation) { s.deliver() },
-	func(s *simulation) { s.renew(0, storetest.Lost) },
+	func(s *simulation) { s.renew(0, storetest.ReplyLost) },
 	func(s *simulation) { s.startLeader(0) },
 	func(s *simulation) { s.lowerLimit() },
 	func(s *simulation) { s.pending = nil },
-	func(s *simulation) { s.renew(1, storetest.Swallowed) },
+	func(s *simulation) { s.renew(1, storetest.RequestLost) },
 	func(s *simulation) { s.acquireAll(1) },
 }
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -133,8 +133,8 @@
 	TTL     time.Duration
 	// RetryAfter is when a refused request would be granted if no other one came first.
 	RetryAfter time.Duration
-	// Young says that the term is younger than youngTermDuration.
-	Young bool
+	// NewTerm says that the term is younger than youngTermDuration.
+	NewTerm bool
 }
 
 // account is the token bucket of one workspace of a Granter.
@@ -174,7 +174,7 @@
 	overdraft := a.plan.Depth * overdraftShare
 	missing := max(math.SmallestNonzeroFloat64, need-overdraft) - a.level
 	if missing > 0 {
-		return Grant{RetryAfter: a.waitFor(missing), Young: now.Sub(g.startedAt) < youngTermDuration}
+		return Grant{RetryAfter: a.waitFor(missing), NewTerm: now.Sub(g.startedAt) < youngTermDuration}
 	}
 	a.level -= need
 	return Grant{Granted: true, TTL: a.plan.TTL}
--- a/sendkeepers/sendkeepers.go
+++ b/sendkeepers/sendkeepers.go
@@ -56,7 +56,7 @@
 	Controllers func() []Coordinator
 	Logger      *slog.Logger
 	// Own grants the sends that are requested from this gateway.
-	Own *enginelink.SendKeeper
+	Own *enginelink.SendCoordinator
 	// PeerAddress is the address where peers reach this gateway.
 	PeerAddress string
 	// Peers are addresses of other gateways; some may be stale or down.
@@ -69,7 +69,7 @@
 // is safe for concurrent use.
 type Coordinators struct {
 	// standalone grants this gateway's share of the limits while it reaches no other process.
-	standalone *enginelink.SendKeeper
+	standalone *enginelink.SendCoordinator
 	config     Config
 	reports    chan struct{}
 
@@ -81,7 +81,7 @@
 // New returns the coordinators that a gateway may use.
 func New(c Config) *Coordinators {
 	return &Coordinators{
-		standalone: enginelink.NewSendKeeper(standaloneShares), config: c, peers: map[string]*peer{}, reports: make(chan struct{}, maxReportsInFlight), suspects: map[string]time.Time{},
+		standalone: enginelink.NewSendCoordinator(standaloneShares), config: c, peers: map[string]*peer{}, reports: make(chan struct{}, maxReportsInFlight), suspects: map[string]time.Time{},
 	}
 }
 
@@ -207,7 +207,7 @@
 // ownCoordinator is this gateway in its role as a coordinator for its peers.
 type ownCoordinator struct {
 	address     string
-	coordinator *enginelink.SendKeeper
+	coordinator *enginelink.SendCoordinator
 }
 
 // Name returns the gateway's address.
@@ -223,7 +223,7 @@
 func (o ownCoordinator) Sent(s enginelink.Sent) { o.coordinator.Sent(&s) }
 
 // standaloneCoordinator grants sends in a gateway that reaches no other process.
-type standaloneCoordinator struct{ coordinator *enginelink.SendKeeper }
+type standaloneCoordinator struct{ coordinator *enginelink.SendCoordinator }
 
 // Name is empty, since no other process uses this coordinator.
 func (s standaloneCoordinator) Name() string { return "" }
--- a/sendkeepers/sendkeepers_test.go
+++ b/sendkeepers/sendkeepers_test.go
@@ -59,7 +59,7 @@
 		}
 		return all
 	}
-	return New(Config{Controllers: list, Logger: slog.New(slog.DiscardHandler), Own: enginelink.NewSendKeeper(1)})
+	return New(Config{Controllers: list, Logger: slog.New(slog.DiscardHandler), Own: enginelink.NewSendCoordinator(1)})
 }
 
 func sendRequest(id sandbarrow.InstanceID) enginelink.Send {
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -119,7 +119,7 @@
 // Hello opens a connection.
 type Hello struct {
 	Box           sandbarrow.BoxID         `json:"box"`
-	Config        config.Mark              `json:"config"`
+	Config        config.Watermark         `json:"config"`
 	FailureDomain sandbarrow.FailureDomain `json:"failure_domain"`
 	// Lane is set on further connections of the same entry, which
 	// carry attempts only.
@@ -161,8 +161,8 @@
 
 // Status is the state that an agent reports to entries.
 type Status struct {
-	Config   config.Mark `json:"config"`
-	Draining bool        `json:"draining,omitempty"`
+	Config   config.Watermark `json:"config"`
+	Draining bool             `json:"draining,omitempty"`
 	// LoadMS is the expected time until a new adapter would be loaded.
 	LoadMS int64 `json:"load_ms,omitempty"`
 	Queued int   `json:"queued"`
--- a/wire/peerconfig.go
+++ b/wire/peerconfig.go
@@ -12,7 +12,7 @@
 
 // PullConfig updates a follower from the peer's configuration if the peer's watermark shows that
 // it may be newer. A box that starts during a store outage obtains its configuration this way.
-func PullConfig(ctx context.Context, rpc *jsonrpc2.Conn, f *config.Follower, peer config.Mark) error {
+func PullConfig(ctx context.Context, rpc *jsonrpc2.Conn, f *config.Follower, peer config.Watermark) error {
 	if !f.MayLack(peer) {
 		return nil
 	}
