--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -200,7 +200,7 @@
 		result = a.failure(at, c, sink, err)
 	}
 	if c != nil {
-		a.responses.put(at.req.OnceID, *c, sink.cached(result))
+		a.responses.put(at.req.AtMostOnceID, *c, sink.cached(result))
 	}
 	a.finish(at, result, err != nil)
 }
@@ -221,7 +221,7 @@
 
 // claim obtains the claim of an at-most-once attempt. It is the last step before the attempt starts.
 func (a *Agent) claim(at *attempt) (*sandbarrow.Claim, error) {
-	if at.req.OnceID == "" {
+	if at.req.AtMostOnceID == "" {
 		return nil, nil
 	}
 	c := sandbarrow.Claim{
@@ -232,7 +232,7 @@
 	}
 	ctx, cancel := context.WithTimeout(at.ctx, claimTimeout)
 	defer cancel()
-	err := a.claimer.Start(ctx, at.req.OnceID, c)
+	err := a.claimer.Start(ctx, at.req.AtMostOnceID, c)
 	if err != nil {
 		return nil, err
 	}
@@ -254,8 +254,8 @@
 	}
 	at.counted = admission.counted
 	at.state, at.startedAt, at.sent = attemptStarted, now, true
-	if at.req.OnceID != "" {
-		a.responses.begin(at.req.OnceID)
+	if at.req.AtMostOnceID != "" {
+		a.responses.begin(at.req.AtMostOnceID)
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 func (a *Agent) release(at *attempt, c sandbarrow.Claim) {
 	ctx, cancel := context.WithTimeout(a.runCtx, claimTimeout)
 	defer cancel()
-	if err := a.claimer.Release(ctx, at.req.OnceID, c); err != nil {
+	if err := a.claimer.Release(ctx, at.req.AtMostOnceID, c); err != nil {
 		a.logger.Warn("claim not released", "request", string(at.req.ID), "error", err.Error())
 	}
 }
--- a/agent/connection.go
+++ b/agent/connection.go
@@ -21,7 +21,7 @@
 	// responseWait bounds how long a retry waits for the first run to finish.
 	responseWait = 60 * time.Second
 	// entryTimeout is the longest pause between messages of an entry: three idle heartbeats.
-	entryTimeout = 3 * wire.IdleHeartbeat
+	entryTimeout = 3 * wire.IdleHeartbeatInterval
 	// pullTimeout bounds a configuration pull from a peer.
 	pullTimeout = 5 * time.Second
 	// revokeWait bounds how long a revoke waits for a claim to be released.
@@ -92,7 +92,7 @@
 		case at.state == attemptQueued:
 			a.scheduler.Remove(at.ticket)
 			a.endAttempt(at, resultOf(sandbarrow.NotRun(sandbarrow.ReasonRevoked, "the entry left", 0)))
-		case at.req.OnceID == "":
+		case at.req.AtMostOnceID == "":
 			at.revoked = true
 			at.cancel()
 		}
@@ -110,10 +110,10 @@
 	switch r.Method {
 	case wire.MethodAttempt:
 		return nil, c.handleAttempt(r)
-	case wire.MethodAnswer:
-		return wire.Later(c.rpc, r, func(q wire.AnswerRequest) any { return c.agent.cachedResponse(ctx, q) })
+	case wire.MethodCachedResponse:
+		return wire.DeferReply(c.rpc, r, func(q wire.CachedResponseRequest) any { return c.agent.cachedResponse(ctx, q) })
 	case wire.MethodConfigPull:
-		return wire.Later(c.rpc, r, func(q wire.ConfigPull) any { return wire.ReplyTo(q, c.agent.follower.Snapshot()) })
+		return wire.DeferReply(c.rpc, r, func(q wire.ConfigPull) any { return wire.NewConfigReply(q, c.agent.follower.Snapshot()) })
 	case wire.MethodCrashes:
 		var m wire.Crashes
 		if err := wire.Decode(r, &m); err != nil {
@@ -123,7 +123,7 @@
 		return nil, nil
 	case wire.MethodHello:
 		return c.handleHello(ctx, r)
-	case wire.MethodMark:
+	case wire.MethodWatermark:
 		var m config.Watermark
 		if err := wire.Decode(r, &m); err != nil {
 			return nil, err
@@ -131,7 +131,7 @@
 		go c.pullConfig(ctx, m)
 		return nil, nil
 	case wire.MethodRevoke:
-		return wire.Later(c.rpc, r, func(q wire.RevokeRequest) any {
+		return wire.DeferReply(c.rpc, r, func(q wire.RevokeRequest) any {
 			ctx, cancel := context.WithTimeout(ctx, revokeWait)
 			defer cancel()
 			return c.agent.revoke(ctx, attemptKey{id: q.ID, attempt: q.Attempt})
@@ -148,7 +148,7 @@
 	c.agent.receive(c, req, func(result wire.AttemptResult) {
 		_ = c.rpc.Reply(context.Background(), r.ID, result) // the entry may have disconnected
 	})
-	return wire.ErrLater
+	return wire.ErrDeferredReply
 }
 
 func (c *connection) handleHello(ctx context.Context, r *jsonrpc2.Request) (any, error) {
@@ -164,7 +164,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c.box = h.Box
-	if !h.Lane {
+	if !h.AdditionalConnection {
 		a.conns[c] = struct{}{}
 		go a.crashes.Follow(ctx, c, func(records []crash.Record) error {
 			return c.notify(wire.MethodCrashes, wire.Crashes{Records: records})
@@ -194,7 +194,7 @@
 }
 
 // cachedResponse returns the cached response of an at-most-once request.
-func (a *Agent) cachedResponse(ctx context.Context, q wire.AnswerRequest) wire.AttemptResult {
+func (a *Agent) cachedResponse(ctx context.Context, q wire.CachedResponseRequest) wire.AttemptResult {
 	ctx, cancel := context.WithTimeout(ctx, responseWait)
 	defer cancel()
 	result, c, ok := a.responses.get(ctx, q.ID, q.Claim)
@@ -210,7 +210,7 @@
 // statusLoop sends each entry the agent's status, which also serves as the heartbeat.
 // It sends often while the entry has work here or the status changes, and rarely otherwise.
 func (a *Agent) statusLoop(ctx context.Context) error {
-	t := time.NewTicker(wire.Heartbeat)
+	t := time.NewTicker(wire.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -238,7 +238,7 @@
 			continue
 		}
 		s := a.status(c)
-		if working[c.box] || !s.UnchangedFrom(&c.lastStatus) || now.Sub(c.lastStatusAt) >= wire.IdleHeartbeat {
+		if working[c.box] || !s.UnchangedFrom(&c.lastStatus) || now.Sub(c.lastStatusAt) >= wire.IdleHeartbeatInterval {
 			c.lastStatus, c.lastStatusAt = s, now
 			go func() { _ = c.notify(wire.MethodStatus, s) }()
 		}
@@ -259,13 +259,13 @@
 func (a *Agent) status(c *connection) wire.Status {
 	st := a.scheduler.Stats(boottime.Now())
 	s := wire.Status{
-		Config:    a.follower.Watermark(),
-		Draining:  a.draining || a.admissions.draining(),
-		LoadMS:    wire.Millis(st.LoadWait),
-		Queued:    st.Queued,
-		Running:   st.Running,
-		ServiceMS: wire.Millis(st.RunTime),
-		Unready:   a.unready,
+		Config:     a.follower.Watermark(),
+		Draining:   a.draining || a.admissions.draining(),
+		LoadWaitMS: wire.Millis(st.LoadWait),
+		Queued:     st.Queued,
+		Running:    st.Running,
+		RunTimeMS:  wire.Millis(st.RunTime),
+		Unready:    a.unready,
 	}
 	if c.residentChanges != a.residentChanges {
 		c.residentChanges = a.residentChanges
--- a/agent/framesink.go
+++ b/agent/framesink.go
@@ -50,7 +50,7 @@
 	}
 	s.frames++
 	// An at-most-once run continues without its entry because its response is cached.
-	if err := s.at.conn.notify(wire.MethodFrame, f); err != nil && s.at.req.OnceID == "" {
+	if err := s.at.conn.notify(wire.MethodFrame, f); err != nil && s.at.req.AtMostOnceID == "" {
 		return 0, errors.Annotate(sandbarrow.ErrUpstreamUnknown, err.Error())
 	}
 	return len(p), nil
--- a/controller/gatewaylink.go
+++ b/controller/gatewaylink.go
@@ -105,7 +105,7 @@
 		// cancel it.
 		a := l.addCall(q.ID)
 		go func() { _ = l.rpc.Reply(context.Background(), r.ID, l.acquire(&q, a)) }() // a closed link needs no reply
-		return nil, wire.ErrLater
+		return nil, wire.ErrDeferredReply
 	case enginelink.MethodCrashes:
 		var m enginelink.Crashes
 		if err := wire.Decode(r, &m); err != nil {
--- a/enginelink/estatesync.go
+++ b/enginelink/estatesync.go
@@ -77,7 +77,7 @@
 
 // ServeFetch replies to a fetch.
 func ServeFetch(rpc *jsonrpc2.Conn, r *jsonrpc2.Request, e *estate.Estate) (any, error) {
-	return wire.Later(rpc, r, func(known Watermark) any {
+	return wire.DeferReply(rpc, r, func(known Watermark) any {
 		confirmed, table := e.Confirmed() // read before the items, which may then be newer but not older
 		items, watermark := e.Since(known)
 		return Estate{AgeMS: ageMS(confirmed), Earlier: watermark.Earlier, Items: items, Watermark: watermark.Revision, Table: table}
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -73,7 +73,7 @@
 		stream: newResponseStream(),
 	}
 	if resolved.AtMostOnce {
-		j.attempt.OnceID = r.onceID()
+		j.attempt.AtMostOnceID = r.onceID()
 	}
 	r.ctx.Response.Header.Set(headerModel, resolved.Model.String())
 	e.respond(r, j)
@@ -123,7 +123,7 @@
 		stream:   newResponseStream(),
 	}
 	if s.AtMostOnce || r.atMostOnce {
-		j.attempt.OnceID = r.onceID()
+		j.attempt.AtMostOnceID = r.onceID()
 	}
 	e.respond(r, j)
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -133,7 +133,7 @@
 		return notSent
 	case errors.Is(err, errRevoked):
 		return decision{refusal: sandbarrow.NotRun(sandbarrow.ReasonDeadline, "the deadline passed before the request ran", noUpstreamRetryAfter)}
-	case err != nil && j.attempt.OnceID != "":
+	case err != nil && j.attempt.AtMostOnceID != "":
 		return e.resolveLostAttempt(ctx, j)
 	case err != nil:
 		return decision{retry: true, refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost while it had the request", noUpstreamRetryAfter)}
@@ -167,7 +167,7 @@
 		// Another agent would query the same store.
 		d.retry = false
 	default:
-		d.retry = refusal.Outcome == sandbarrow.OutcomeNotRun || j.attempt.OnceID == ""
+		d.retry = refusal.Outcome == sandbarrow.OutcomeNotRun || j.attempt.AtMostOnceID == ""
 	}
 	return d
 }
@@ -183,7 +183,7 @@
 		Box:     e.settings.Box.ID,
 		Token:   uuid.NewString(),
 	}
-	current, err := e.claimer.Void(voidCtx, j.attempt.OnceID, c)
+	current, err := e.claimer.Void(voidCtx, j.attempt.AtMostOnceID, c)
 	if err != nil {
 		return decision{refusal: sandbarrow.Unknown(sandbarrow.ReasonUpstream, "the agent was lost and the store does not tell whether the request ran", noUpstreamRetryAfter)}
 	}
@@ -213,7 +213,7 @@
 }
 
 func (e *Entry) fetchStoredResponse(ctx context.Context, j *job, p *peer, c sandbarrow.Claim, unknown decision) decision {
-	result, err := p.storedResponse(ctx, wire.AnswerRequest{Body: j.attempt.Digest(), Claim: c.Token, ID: j.attempt.OnceID})
+	result, err := p.storedResponse(ctx, wire.CachedResponseRequest{Body: j.attempt.Digest(), Claim: c.Token, ID: j.attempt.AtMostOnceID})
 	switch {
 	case err != nil || j.stream.any():
 		return unknown
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -101,11 +101,11 @@
 	callCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	err = rpc.Call(callCtx, wire.MethodHello, wire.Hello{
-		Box:           p.entry.settings.Box.ID,
-		Config:        p.entry.follower.Watermark(),
-		FailureDomain: p.entry.settings.Box.FailureDomain,
-		Lane:          additional,
-		Protocol:      wire.Protocol,
+		Box:                  p.entry.settings.Box.ID,
+		Config:               p.entry.follower.Watermark(),
+		FailureDomain:        p.entry.settings.Box.FailureDomain,
+		AdditionalConnection: additional,
+		Protocol:             wire.Protocol,
 	}, &reply)
 	return reply, errors.Annotate(err, "hello")
 }
@@ -133,7 +133,7 @@
 	go p.entry.crashes.FollowOwn(ctx, func(records []crash.Record) error {
 		return p.connections[0].Notify(ctx, wire.MethodCrashes, wire.Crashes{Records: records})
 	})
-	t := time.NewTicker(wire.Heartbeat)
+	t := time.NewTicker(wire.HeartbeatInterval)
 	defer t.Stop()
 	lastWatermark := time.Now()
 	for {
@@ -147,7 +147,7 @@
 				p.entry.logger.Warn("agent is silent, connection closed", "agent", string(p.box.ID), "silence", sinceContact.String())
 				return
 			}
-			if p.inflight.Load() > 0 || time.Since(lastWatermark) >= wire.IdleHeartbeat {
+			if p.inflight.Load() > 0 || time.Since(lastWatermark) >= wire.IdleHeartbeatInterval {
 				lastWatermark = time.Now()
 				go p.sendWatermark()
 			}
@@ -171,18 +171,18 @@
 	if p.inflight.Load() > 0 {
 		return wire.HeartbeatTimeout
 	}
-	return 3 * wire.IdleHeartbeat
+	return 3 * wire.IdleHeartbeatInterval
 }
 
 func (p *peer) sendWatermark() {
-	_ = p.connections[0].Notify(context.Background(), wire.MethodMark, p.entry.follower.Watermark()) // useless if disconnected
+	_ = p.connections[0].Notify(context.Background(), wire.MethodWatermark, p.entry.follower.Watermark()) // useless if disconnected
 }
 
 func (p *peer) handleMessage(ctx context.Context, r *jsonrpc2.Request) (any, error) {
 	p.recordContact()
 	switch r.Method {
 	case wire.MethodConfigPull:
-		return wire.Later(p.connections[0], r, func(q wire.ConfigPull) any { return wire.ReplyTo(q, p.entry.follower.Snapshot()) })
+		return wire.DeferReply(p.connections[0], r, func(q wire.ConfigPull) any { return wire.NewConfigReply(q, p.entry.follower.Snapshot()) })
 	case wire.MethodCrashes:
 		var m wire.Crashes
 		if err := wire.Decode(r, &m); err != nil {
@@ -216,10 +216,10 @@
 func (p *peer) applyStatus(ctx context.Context, s wire.Status) {
 	f := p.entry.fleet
 	f.SetLoad(p.index, placement.Load{
-		LoadTime:    wire.Duration(s.LoadMS),
+		LoadTime:    wire.Duration(s.LoadWaitMS),
 		Queued:      s.Queued,
 		Running:     s.Running,
-		ServiceTime: wire.Duration(s.ServiceMS),
+		ServiceTime: wire.Duration(s.RunTimeMS),
 	})
 	if s.Resident != nil {
 		hashes := make([]uint64, len(s.Resident))
@@ -296,9 +296,9 @@
 }
 
 // storedResponse requests the stored response of an at-most-once request.
-func (p *peer) storedResponse(ctx context.Context, q wire.AnswerRequest) (wire.AttemptResult, error) {
+func (p *peer) storedResponse(ctx context.Context, q wire.CachedResponseRequest) (wire.AttemptResult, error) {
 	var result wire.AttemptResult
-	if err := p.connections[0].Call(ctx, wire.MethodAnswer, q, &result); err != nil {
+	if err := p.connections[0].Call(ctx, wire.MethodCachedResponse, q, &result); err != nil {
 		return result, errors.Annotate(errLost, err.Error())
 	}
 	return result, nil
--- a/forward/exchange_test.go
+++ b/forward/exchange_test.go
@@ -260,10 +260,10 @@
 		write(c, completeResponse(id, "one"))
 	})
 	r := request("1")
-	r.MayLeave = func() bool { return false }
+	r.AllowSend = func() bool { return false }
 	_, err := p.Send(t.Context(), r)
 	assert.Assert(t, errors.Is(err, ErrNotSent), "%v", err)
-	r.MayLeave = func() bool { return true }
+	r.AllowSend = func() bool { return true }
 	resp, err := p.Send(t.Context(), r)
 	assert.NilError(t, err)
 	resp.Close()
--- a/forward/pool.go
+++ b/forward/pool.go
@@ -36,7 +36,7 @@
 // The errors of a request that had no effect.
 const (
 	// ErrConnectionRefused is an ErrNotSent whose cause is that no process listens at the address.
-	ErrNothingListens = errors.ConstError("forward: connection refused")
+	ErrConnectionRefused = errors.ConstError("forward: connection refused")
 	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.ConstError("forward: not sent")
 )
@@ -122,7 +122,7 @@
 	if err != nil {
 		notSent := errors.Annotate(ErrNotSent, err.Error())
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return nil, errors.WithType(notSent, ErrNothingListens)
+			return nil, errors.WithType(notSent, ErrConnectionRefused)
 		}
 		return nil, notSent
 	}
--- a/gateway/callerrequest.go
+++ b/gateway/callerrequest.go
@@ -248,7 +248,7 @@
 	}
 	return &forward.Request{
 		Body: c.body, Header: h, Host: c.request.Host, ID: c.id, IDHeader: names.RequestID, Method: c.request.Method,
-		MayLeave: func() bool { return c.gateway.upstreams.accepts(in) },
-		Target:   c.request.RequestURI,
+		AllowSend: func() bool { return c.gateway.upstreams.accepts(in) },
+		Target:    c.request.RequestURI,
 	}
 }
--- a/gateway/upstreams.go
+++ b/gateway/upstreams.go
@@ -98,7 +98,7 @@
 
 // observeResponse reads the notices in an upstream's response to a request sent at a time. It
 // ignores the response of another instance.
-func (u *upstreams) observeResponse(in *sandbarrow.Instance, sent time.Time, a *forward.Answer) {
+func (u *upstreams) observeResponse(in *sandbarrow.Instance, sent time.Time, a *forward.Response) {
 	if name := a.Header.Get(u.gateway.config.Headers.Instance); name != "" && sandbarrow.ListedID(name) != in.ID.Listed() {
 		return
 	}
@@ -124,7 +124,7 @@
 
 // recordUnsent records what a failed connection shows about its upstream.
 func (u *upstreams) recordUnsent(in *sandbarrow.Instance, err error) {
-	if !errors.Is(err, forward.ErrNothingListens) {
+	if !errors.Is(err, forward.ErrConnectionRefused) {
 		return
 	}
 	u.mu.Lock()
--- a/internal/systest/slope_test.go
+++ b/internal/systest/slope_test.go
@@ -92,8 +92,8 @@
 		var reply wire.HelloReply
 		assert.NilError(b, rpc.Call(context.Background(), wire.MethodHello, wire.Hello{Protocol: wire.Protocol}, &reply))
 		go func() {
-			for rpc.Notify(context.Background(), wire.MethodMark, reply.Status.Config) == nil {
-				time.Sleep(wire.IdleHeartbeat)
+			for rpc.Notify(context.Background(), wire.MethodWatermark, reply.Status.Config) == nil {
+				time.Sleep(wire.IdleHeartbeatInterval)
 			}
 		}()
 	}
--- a/wire/handler.go
+++ b/wire/handler.go
@@ -8,8 +8,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// ErrLater is returned by a Handler that sends its reply itself.
-const ErrLater = errors.ConstError("wire: reply follows")
+// ErrDeferredReply is returned by a Handler that sends its reply itself.
+const ErrDeferredReply = errors.ConstError("wire: reply follows")
 
 // Handler serves the messages of a connection one at a time, in order.
 type Handler func(ctx context.Context, r *jsonrpc2.Request) (any, error)
@@ -17,7 +17,7 @@
 // Handle serves one message and replies unless h returns ErrDeferredReply.
 func (h Handler) Handle(ctx context.Context, conn *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	result, err := h(ctx, r)
-	if r.Notif || errors.Is(err, ErrLater) {
+	if r.Notif || errors.Is(err, ErrDeferredReply) {
 		return
 	}
 	if err == nil {
@@ -42,13 +42,13 @@
 	return nil
 }
 
-// Later serves a call in its own goroutine, so it does not delay later messages of the
+// DeferReply serves a call in its own goroutine, so it does not delay later messages of the
 // connection.
-func Later[T any](rpc *jsonrpc2.Conn, r *jsonrpc2.Request, serve func(T) any) (any, error) {
+func DeferReply[T any](rpc *jsonrpc2.Conn, r *jsonrpc2.Request, serve func(T) any) (any, error) {
 	var q T
 	if err := Decode(r, &q); err != nil {
 		return nil, err
 	}
 	go func() { _ = rpc.Reply(context.Background(), r.ID, serve(q)) }()
-	return nil, ErrLater
+	return nil, ErrDeferredReply
 }
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// Heartbeat is the pause between two heartbeats while work is in progress between an
+	// HeartbeatInterval is the pause between two heartbeats while work is in progress between an
 	// entry and an agent.
-	Heartbeat = 500 * time.Millisecond
-	// IdleHeartbeat is the pause between two heartbeats on an idle connection. It keeps idle
+	HeartbeatInterval = 500 * time.Millisecond
+	// IdleHeartbeatInterval is the pause between two heartbeats on an idle connection. It keeps idle
 	// connections within the bytes that a node may spend on control traffic.
-	IdleHeartbeat = 5 * time.Second
+	IdleHeartbeatInterval = 5 * time.Second
 	// HeartbeatTimeout is the time without messages after which a peer with work in progress counts
 	// as unreachable.
-	HeartbeatTimeout = 3 * Heartbeat
+	HeartbeatTimeout = 3 * HeartbeatInterval
 )
 
 // UnchangedFrom reports whether s contains nothing new for an entry that has received sent.
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -11,8 +11,8 @@
 
 // The JSON-RPC methods between entries and agents.
 const (
-	// MethodAnswer requests the cached response of an at-most-once request from an agent.
-	MethodAnswer = "answer"
+	// MethodCachedResponse requests the cached response of an at-most-once request from an agent.
+	MethodCachedResponse = "answer"
 	// MethodAttempt runs one attempt. Its reply is the final message of the attempt.
 	MethodAttempt = "attempt"
 	// MethodConfigPull requests the peer's configuration.
@@ -23,8 +23,8 @@
 	MethodFrame = "frame"
 	// MethodHello opens a connection.
 	MethodHello = "hello"
-	// MethodMark reports the watermark of the entry's configuration to an agent.
-	MethodMark = "config.mark"
+	// MethodWatermark reports the watermark of the entry's configuration to an agent.
+	MethodWatermark = "config.mark"
 	// MethodRevoke cancels an attempt that has not started.
 	MethodRevoke = "revoke"
 	// MethodStatus carries an agent's status. It also serves as the heartbeat.
@@ -34,8 +34,8 @@
 // Protocol is the version of the message protocol.
 const Protocol = 1
 
-// AnswerRequest requests a cached response.
-type AnswerRequest struct {
+// CachedResponseRequest requests a cached response.
+type CachedResponseRequest struct {
 	Body  sandbarrow.Digest    `json:"body"`
 	Claim string               `json:"claim"`
 	ID    sandbarrow.RequestID `json:"id"`
@@ -58,13 +58,13 @@
 	Method      string                 `json:"method,omitempty"`
 	Model       sandbarrow.ModelRef    `json:"model"`
 	NoBatchWait bool                   `json:"no_batch_wait,omitempty"`
-	// OnceID identifies an at-most-once request; it is empty for retryable requests.
-	OnceID   sandbarrow.RequestID `json:"once_id,omitempty"`
-	Path     string               `json:"path"`
-	Priority int                  `json:"priority"`
-	Revision sandbarrow.Revision  `json:"revision"`
-	Stream   bool                 `json:"stream,omitempty"`
-	Weights  string               `json:"weights,omitempty"`
+	// AtMostOnceID identifies an at-most-once request; it is empty for retryable requests.
+	AtMostOnceID sandbarrow.RequestID `json:"once_id,omitempty"`
+	Path         string               `json:"path"`
+	Priority     int                  `json:"priority"`
+	Revision     sandbarrow.Revision  `json:"revision"`
+	Stream       bool                 `json:"stream,omitempty"`
+	Weights      string               `json:"weights,omitempty"`
 }
 
 // Digest returns a digest that distinguishes requests with the same idempotency key.
@@ -121,10 +121,10 @@
 	Box           sandbarrow.BoxID         `json:"box"`
 	Config        config.Watermark         `json:"config"`
 	FailureDomain sandbarrow.FailureDomain `json:"failure_domain"`
-	// Lane is set on further connections of the same entry, which
+	// AdditionalConnection is set on further connections of the same entry, which
 	// carry attempts only.
-	Lane     bool `json:"lane,omitempty"`
-	Protocol int  `json:"protocol"`
+	AdditionalConnection bool `json:"lane,omitempty"`
+	Protocol             int  `json:"protocol"`
 }
 
 // HelloReply describes an agent and its upstream.
@@ -163,14 +163,14 @@
 type Status struct {
 	Config   config.Watermark `json:"config"`
 	Draining bool             `json:"draining,omitempty"`
-	// LoadMS is the expected time until a new adapter would be loaded.
-	LoadMS int64 `json:"load_ms,omitempty"`
-	Queued int   `json:"queued"`
+	// LoadWaitMS is the expected time until a new adapter would be loaded.
+	LoadWaitMS int64 `json:"load_ms,omitempty"`
+	Queued     int   `json:"queued"`
 	// Resident lists the loaded adapters; nil means that the list is unchanged.
 	Resident []sandbarrow.ModelRef `json:"resident"`
 	Running  int                   `json:"running"`
-	// ServiceMS is the measured time of a run.
-	ServiceMS int64 `json:"service_ms,omitempty"`
+	// RunTimeMS is the measured time of a run.
+	RunTimeMS int64 `json:"service_ms,omitempty"`
 	// Unready is set when the upstream does not respond.
 	Unready bool `json:"unready,omitempty"`
 }
--- a/wire/peerconfig.go
+++ b/wire/peerconfig.go
@@ -37,8 +37,8 @@
 	return err
 }
 
-// ReplyTo returns a snapshot without the shards that the requester already has.
-func ReplyTo(q ConfigPull, s config.Snapshot) ConfigReply {
+// NewConfigReply returns a snapshot without the shards that the requester already has.
+func NewConfigReply(q ConfigPull, s config.Snapshot) ConfigReply {
 	known := make(map[sandbarrow.Digest]bool, len(q.Known))
 	for _, digest := range q.Known {
 		known[digest] = true
