--- a/internal/systest/abuse_test.go
+++ b/internal/systest/abuse_test.go
@@ -15,8 +15,8 @@
 	"sandbarrow.example/sandbarrow/internal/await"
 )
 
-// open starts a streamed completion and returns its connection's reader.
-func (s *system) open(ctx context.Context, content string, tokens string) io.ReadCloser {
+// openStream starts a streamed completion and returns the body of its response.
+func (s *system) openStream(ctx context.Context, content string, tokens string) io.ReadCloser {
 	s.t.Helper()
 	body := `{"model":"adapter-1","max_tokens":` + tokens + `,"stream":true,"prompt":"` + content + `"}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.urls[0]+"/v1/completions", strings.NewReader(body))
@@ -29,39 +29,39 @@
 	return resp.Body
 }
 
-func TestVanishingCaller(t *testing.T) {
+func TestRunEndsAfterCallerDisconnects(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
+	s := startSystem(t, defaultOptions())
 	ctx, cancel := context.WithCancel(context.Background())
-	body := s.open(ctx, "leaves", "1500") // 7.5 s
+	body := s.openStream(ctx, "disconnects", "1500") // 7.5 s
 	_, err := body.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	s.waitBusy("sandbarrow_running")
+	s.waitGauge("sandbarrow_running")
 	cancel()
-	await.Until(t, 3*time.Second, "the run ends", func() bool { return s.busy("sandbarrow_running") == nil })
-	s.normal(kinds[0])
+	await.Until(t, 3*time.Second, "the run stops after its caller disconnected", func() bool { return s.memberWithGauge("sandbarrow_running") == nil })
+	s.waitServing(requestKinds[0])
 	s.checker.verify("v1")
 }
 
-// TestSlowCaller reads nothing of a long answer while others are served.
-func TestSlowCaller(t *testing.T) {
+// TestSlowCallerDoesNotDelayOthers leaves a long response unread while other requests are served.
+func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	t.Parallel()
-	sh := defaultShape()
-	sh.step = time.Millisecond
-	s := startSystem(t, sh)
-	defer s.open(t.Context(), "slow", "5000").Close()
+	opts := defaultOptions()
+	opts.tokenTime = time.Millisecond
+	s := startSystem(t, opts)
+	defer s.openStream(t.Context(), "slow", "5000").Close()
 	for range 20 {
-		c := s.start(streamOf(1)).wait(t)
+		c := s.start(streamCall(1)).wait(t)
 		assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, c.body)
-		assert.Assert(t, c.took < 2*time.Second, "took %v", c.took)
+		assert.Assert(t, c.duration < 2*time.Second, "took %v", c.duration)
 	}
 	s.checker.verify("v1")
 }
 
-// TestGarbageBetweenProcesses sends an agent what is no message.
-func TestGarbageBetweenProcesses(t *testing.T) {
+// TestMalformedMessagesDoNotDisruptAgents sends each agent bytes that are not valid messages.
+func TestMalformedMessagesDoNotDisruptAgents(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
+	s := startSystem(t, defaultOptions())
 	for _, garbage := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x02{}", "\x00\x00\x00\x05{\"a\":", "\xff\xff\xff\xff"} {
 		for _, m := range s.members {
 			conn, err := net.Dial("tcp", m.relay.address())
@@ -71,7 +71,7 @@
 			assert.NilError(t, conn.Close())
 		}
 	}
-	for _, k := range kinds {
+	for _, k := range requestKinds {
 		assert.Equal(t, s.start(k.make("after "+k.name)).wait(t).outcome, sandbarrow.OutcomeComplete)
 	}
 	s.checker.verify("v1")
--- a/internal/systest/caller_test.go
+++ b/internal/systest/caller_test.go
@@ -19,33 +19,33 @@
 	"sandbarrow.example/sandbarrow/entry"
 )
 
-// call is one request of a caller and what it saw.
+// call is one request of a caller and its response.
 type call struct {
-	adapter  sandbarrow.AdapterID
-	class    sandbarrow.CallerClass
-	content  string // the prompt, or the body of a service call
-	deadline time.Duration
-	entry    int
-	onceKey  string
-	service  bool
-	stream   bool
-	tokens   int
+	adapter        sandbarrow.AdapterID
+	class          sandbarrow.CallerClass
+	content        string // the prompt, or the body of a service call
+	deadline       time.Duration
+	entry          int
+	idempotencyKey string
+	service        bool
+	stream         bool
+	tokens         int
 
-	began   chan struct{} // closed at the first bytes of a streamed answer
-	body    string
-	done    chan struct{}
-	err     error
-	header  http.Header
-	outcome sandbarrow.Outcome
-	problem entry.Problem
-	status  int
-	took    time.Duration
+	responseStarted chan struct{} // closed at the first bytes of the response
+	body            string
+	done            chan struct{}
+	err             error
+	header          http.Header
+	outcome         sandbarrow.Outcome
+	problem         entry.Problem
+	status          int
+	duration        time.Duration
 }
 
-// start sends the request; the answer is read in the background.
+// start sends the request and reads the response in the background.
 func (s *system) start(c *call) *call {
 	s.t.Helper()
-	c.began, c.done = make(chan struct{}), make(chan struct{})
+	c.responseStarted, c.done = make(chan struct{}), make(chan struct{})
 	path, body := "/v1/completions", c.content
 	if c.service {
 		path = "/receipts/new"
@@ -54,23 +54,23 @@
 	}
 	req, err := http.NewRequest(http.MethodPost, s.urls[c.entry]+path, bytes.NewReader([]byte(body)))
 	assert.NilError(s.t, err)
-	req.Header.Set("Authorization", "Bearer "+keyOf(c.class))
+	req.Header.Set("Authorization", "Bearer "+bearerKey(c.class))
 	req.Header.Set("Content-Type", "application/json")
-	if c.onceKey != "" {
-		req.Header.Set("Idempotency-Key", c.onceKey)
+	if c.idempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", c.idempotencyKey)
 	}
 	if c.deadline > 0 {
 		req.Header.Set("Sandbarrow-Deadline-Ms", fmt.Sprint(c.deadline.Milliseconds()))
 	}
 	s.checker.add(c)
-	go c.run(req)
+	go c.send(req)
 	return c
 }
 
-func (c *call) run(req *http.Request) {
+func (c *call) send(req *http.Request) {
 	defer close(c.done)
 	started := time.Now()
-	defer func() { c.took = time.Since(started) }()
+	defer func() { c.duration = time.Since(started) }()
 	transport := &http.Transport{DisableKeepAlives: true}
 	resp, err := (&http.Client{Transport: transport}).Do(req)
 	if err != nil {
@@ -81,15 +81,15 @@
 	c.status, c.header = resp.StatusCode, resp.Header
 	r := bufio.NewReader(resp.Body)
 	if _, err := r.Peek(1); err == nil {
-		close(c.began)
+		close(c.responseStarted)
 	}
 	body, err := io.ReadAll(r)
 	c.body, c.err = string(body), err
-	c.judge()
+	c.parseOutcome()
 }
 
-// judge reads the outcome that the caller was told.
-func (c *call) judge() {
+// parseOutcome sets the outcome that the response reports.
+func (c *call) parseOutcome() {
 	text := c.body
 	if _, event, ok := strings.Cut(c.body, "event: error\ndata: "); ok {
 		text = event
@@ -108,12 +108,12 @@
 	select {
 	case <-c.done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("no answer")
+		t.Fatal("no response within 30 s")
 	}
 	return c
 }
 
-// tag is what the stand-ins put into the answer to this request.
+// tag is the digest that the stand-ins put into the response to this request.
 func (c *call) tag() string {
 	content := []byte(c.content)
 	if !c.service {
@@ -123,8 +123,8 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// raw sends any request and reads the problem of its answer.
-func (s *system) raw(t *testing.T, path, body, key, header, value string) (int, entry.Problem) {
+// sendRaw sends any request and returns the status and problem of its response.
+func (s *system) sendRaw(t *testing.T, path, body, key, header, value string) (int, entry.Problem) {
 	t.Helper()
 	if path == "" {
 		path = "/v1/completions"
--- a/internal/systest/checker_test.go
+++ b/internal/systest/checker_test.go
@@ -9,7 +9,7 @@
 	"sandbarrow.example/sandbarrow/standin"
 )
 
-// checker compares what callers saw with what the upstreams did.
+// checker compares the responses to callers with the requests that the upstreams ran.
 type checker struct {
 	mu     sync.Mutex
 	calls  []*call
@@ -26,7 +26,7 @@
 	k.calls = append(k.calls, c)
 }
 
-// verify waits for all calls and reports each broken promise.
+// verify waits for all calls and reports each violated guarantee.
 func (k *checker) verify(versions ...string) {
 	k.system.t.Helper()
 	for _, c := range k.calls {
@@ -34,19 +34,19 @@
 	}
 	logs := make([]standin.Log, len(k.system.members))
 	for i, m := range k.system.members {
-		logs[i] = k.system.log(m.backend)
+		logs[i] = k.system.upstreamLog(m.upstreamURL)
 	}
-	for _, fault := range check(k.calls, logs, versions) {
-		k.system.t.Error(fault)
+	for _, violation := range findViolations(k.calls, logs, versions) {
+		k.system.t.Error(violation)
 	}
 }
 
-// check returns the broken promises, in words.
-func check(calls []*call, logs []standin.Log, versions []string) []string {
-	var faults []string
-	report := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
+// findViolations describes each violated guarantee.
+func findViolations(calls []*call, logs []standin.Log, versions []string) []string {
+	var violations []string
+	report := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	runs := map[string][]standin.Run{} // by tag
-	ids := map[string]bool{}           // request ids that ran
+	ids := map[string]bool{}           // request IDs that ran
 	for _, l := range logs {
 		for _, r := range l.Runs {
 			runs[r.Tag] = append(runs[r.Tag], r)
@@ -55,35 +55,35 @@
 		}
 		for _, o := range l.Orders {
 			if o.Unload && o.Running > 0 {
-				report("%s was unloaded under %d running requests", o.Model, o.Running)
+				report("%s was unloaded while %d requests ran", o.Model, o.Running)
 			}
 		}
 	}
 	for _, c := range calls {
 		for _, r := range runs[c.tag()] {
-			if !c.service && !allowed(r.Model, string(c.adapter), versions) {
+			if !c.service && !allowedModel(r.Model, string(c.adapter), versions) {
 				report("%q ran on %s", c.content, r.Model)
 			}
 		}
-		if (c.onceKey != "" || c.service) && len(runs[c.tag()]) > 1 {
-			report("once-only %q ran %d times", c.content, len(runs[c.tag()]))
+		if (c.idempotencyKey != "" || c.service) && len(runs[c.tag()]) > 1 {
+			report("at-most-once %q ran %d times", c.content, len(runs[c.tag()]))
 		}
 		switch c.outcome {
 		case sandbarrow.OutcomeComplete:
-			faults = append(faults, checkWhole(c, runs[c.tag()])...)
+			violations = append(violations, checkCompleteResponse(c, runs[c.tag()])...)
 		case sandbarrow.OutcomeNotRun:
 			if ids[string(c.problem.RequestID)] {
-				report("%q was told not-run (%s) but ran", c.content, c.problem.Detail)
+				report("%q got outcome not-run (%s) but ran", c.content, c.problem.Detail)
 			}
 		case sandbarrow.OutcomeUnknown:
 		default:
-			report("%q has no final answer: status %d, error %v, body %.200q", c.content, c.status, c.err, c.body)
+			report("%q has no final outcome: status %d, error %v, body %.200q", c.content, c.status, c.err, c.body)
 		}
 	}
-	return faults
+	return violations
 }
 
-func allowed(model, adapter string, versions []string) bool {
+func allowedModel(model, adapter string, versions []string) bool {
 	for _, v := range versions {
 		if model == adapter+"@"+v {
 			return true
@@ -92,27 +92,27 @@
 	return false
 }
 
-// checkWhole checks that an answer is the whole answer to its own request.
-func checkWhole(c *call, runs []standin.Run) []string {
-	var faults []string
+// checkCompleteResponse checks that a response is complete and belongs to its own request.
+func checkCompleteResponse(c *call, runs []standin.Run) []string {
+	var violations []string
 	if len(runs) == 0 {
-		faults = append(faults, fmt.Sprintf("%q was answered but never ran", c.content))
+		violations = append(violations, fmt.Sprintf("%q got a response but never ran", c.content))
 	}
 	if !strings.Contains(c.body, c.tag()) {
-		faults = append(faults, fmt.Sprintf("%q got another request's answer", c.content))
+		violations = append(violations, fmt.Sprintf("%q got another request's response", c.content))
 	}
 	if c.service {
-		return faults
+		return violations
 	}
 	if !strings.Contains(c.body, fmt.Sprintf("t%d", c.tokens-1)) {
-		faults = append(faults, fmt.Sprintf("%q got a cut answer", c.content))
+		violations = append(violations, fmt.Sprintf("%q got a truncated response", c.content))
 	}
 	if c.stream && !strings.HasSuffix(c.body, "data: [DONE]\n\n") {
-		faults = append(faults, fmt.Sprintf("%q got a stream without its end", c.content))
+		violations = append(violations, fmt.Sprintf("%q got a stream without its final event", c.content))
 	}
 	model := c.header.Get("Sandbarrow-Model")
 	if model != "" && !strings.Contains(c.body, fmt.Sprintf("%q:%q", "model", model)) {
-		faults = append(faults, fmt.Sprintf("%q was answered by another model than %s", c.content, model))
+		violations = append(violations, fmt.Sprintf("%q got a response from another model than %s", c.content, model))
 	}
-	return faults
+	return violations
 }
--- a/internal/systest/configuration_test.go
+++ b/internal/systest/configuration_test.go
@@ -17,20 +17,20 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// forceLimit is the promise at today's size.
-const forceLimit = 5 * time.Second
+// propagationLimit bounds how soon a configuration must be in force in all processes.
+const propagationLimit = 5 * time.Second
 
 const revisionMetric = "sandbarrow_configuration_revision"
 
-// waitRevision waits until all processes have a revision and returns how long it took.
+// waitRevision waits until a revision is in force in all processes and returns how long it took.
 func (s *system) waitRevision(revision float64) time.Duration {
 	s.t.Helper()
 	started := time.Now()
 	urls := append([]string(nil), s.urls...)
 	for _, m := range s.members {
-		urls = append(urls, m.url(s.t))
+		urls = append(urls, m.metricsURL(s.t))
 	}
-	await.Until(s.t, forceLimit, "configuration in force everywhere", func() bool {
+	await.Until(s.t, propagationLimit, "configuration in force everywhere", func() bool {
 		for _, u := range urls {
 			if metric(u, revisionMetric) != revision {
 				return false
@@ -44,25 +44,25 @@
 func TestFaultMatrixConfiguration(t *testing.T) {
 	t.Run("rollout-and-rollback", func(t *testing.T) {
 		t.Parallel()
-		s := startSystem(t, defaultShape())
-		stop := s.drive(20*time.Millisecond, streamOf)
-		s.apply("v2", 1)
+		s := startSystem(t, defaultOptions())
+		stop := s.sendContinuously(20*time.Millisecond, streamCall)
+		s.applyVersion("v2", 1)
 		t.Logf("in force everywhere after %v", s.waitRevision(2))
 		time.Sleep(300 * time.Millisecond)
-		s.apply("v1", 2)
+		s.applyVersion("v1", 2)
 		t.Logf("in force everywhere after %v", s.waitRevision(3))
-		after := s.start(streamOf(1000)).wait(t)
+		after := s.start(streamCall(1000)).wait(t)
 		assert.Equal(t, after.header.Get("Sandbarrow-Model"), string(after.adapter)+"@v1")
 		calls := stop()
-		wholeCalls(t, calls)
+		assertComplete(t, calls)
 		s.checker.verify("v1", "v2")
 		for _, c := range calls {
-			checkRevision(t, c)
+			checkSingleRevision(t, c)
 		}
 	})
-	t.Run("racing-operators", func(t *testing.T) {
+	t.Run("concurrent-applies", func(t *testing.T) {
 		t.Parallel()
-		s := startSystem(t, defaultShape())
+		s := startSystem(t, defaultOptions())
 		var mu sync.Mutex
 		results := map[config.ApplyResult]int{}
 		var wg sync.WaitGroup
@@ -78,10 +78,10 @@
 		assert.DeepEqual(t, results, map[config.ApplyResult]int{config.ApplyAccepted: 1, config.ApplyConflict: 5})
 		s.waitRevision(2)
 	})
-	t.Run("starts-in-outage", func(t *testing.T) {
+	t.Run("starts-during-store-outage", func(t *testing.T) {
 		t.Parallel()
-		s := startSystem(t, defaultShape())
-		s.apply("v2", 1)
+		s := startSystem(t, defaultOptions())
+		s.applyVersion("v2", 1)
 		s.waitRevision(2)
 		s.faults(s.kv, standin.Faults{Down: true})
 		s.entries[0].signal(t, syscall.SIGKILL)
@@ -92,19 +92,19 @@
 		}
 		t.Logf("in force everywhere after %v", s.waitRevision(2))
 		s.faults(s.kv, standin.Faults{})
-		await.Until(t, 10*time.Second, "an answer under v2", func() bool {
-			c := s.start(streamOf(1)).wait(t)
+		await.Until(t, 10*time.Second, "a response by version v2", func() bool {
+			c := s.start(streamCall(1)).wait(t)
 			return c.outcome == sandbarrow.OutcomeComplete && c.header.Get("Sandbarrow-Model") == string(c.adapter)+"@v2"
 		})
 		s.checker.verify("v2")
 	})
 	for _, step := range []string{"shard-write", "head-swap"} {
-		t.Run("answer-lost/"+step, func(t *testing.T) {
+		t.Run("reply-lost/"+step, func(t *testing.T) {
 			t.Parallel()
-			s := startSystem(t, defaultShape())
+			s := startSystem(t, defaultOptions())
 			lost := 1
 			if step == "head-swap" {
-				lost = 1000 // each call until the fault is healed
+				lost = 1000 // each changing call until the fault is cleared
 			}
 			s.faults(s.kv, standin.Faults{LoseReplies: lost})
 			result, head, err := config.Apply(context.Background(), store.NewHTTP(s.kv), testDocument("v2"), 1)
@@ -114,28 +114,28 @@
 			s.waitRevision(2)
 		})
 	}
-	t.Run("store-lost-its-head", func(t *testing.T) {
+	t.Run("store-returns-older-head", func(t *testing.T) {
 		t.Parallel()
-		s := startSystem(t, defaultShape())
-		s.apply("v2", 1)
+		s := startSystem(t, defaultOptions())
+		s.applyVersion("v2", 1)
 		s.waitRevision(2)
-		// The platform comes back with an older head under a newer key revision.
+		// The store returns an older head under a newer key revision.
 		kv := store.NewHTTP(s.kv)
 		item, err := kv.Get(context.Background(), config.HeadKey)
 		assert.NilError(t, err)
-		old := s.oldHead()
-		_, err = kv.CompareAndSwap(context.Background(), config.HeadKey, item.Revision, old, "")
+		stale := s.staleHead()
+		_, err = kv.CompareAndSwap(context.Background(), config.HeadKey, item.Revision, stale, "")
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
 		s.waitRevision(2)
 	})
 }
 
-// oldHead is the first head, as a platform that lost writes would show it.
-func (s *system) oldHead() []byte {
+// staleHead returns the head of the first revision, as a store that lost writes would return it.
+func (s *system) staleHead() []byte {
 	s.t.Helper()
-	other := s.serve(standin.NewKV(standin.KVLimits{}))
-	kv := store.NewHTTP(other)
+	otherStore := s.serve(standin.NewKV(standin.KVLimits{}))
+	kv := store.NewHTTP(otherStore)
 	_, _, err := config.Apply(context.Background(), kv, testDocument("v1"), 0)
 	assert.NilError(s.t, err)
 	item, err := kv.Get(context.Background(), config.HeadKey)
@@ -143,8 +143,8 @@
 	return item.Value
 }
 
-// checkRevision checks that a call ran under one revision from end to end.
-func checkRevision(t *testing.T, c *call) {
+// checkSingleRevision checks that a call ran on the model version of the revision in its response.
+func checkSingleRevision(t *testing.T, c *call) {
 	t.Helper()
 	want := map[string]string{"1": "v1", "2": "v2", "3": "v1"}[c.header.Get("Sandbarrow-Revision")]
 	assert.Equal(t, c.header.Get("Sandbarrow-Model"), string(c.adapter)+"@"+want)
--- a/internal/systest/document_test.go
+++ b/internal/systest/document_test.go
@@ -16,7 +16,7 @@
 	callerKey    = "secret"
 )
 
-// testDocument names a version for all adapters.
+// testDocument returns a configuration whose policy selects the given version for all adapters.
 func testDocument(version string) *config.Document {
 	d := &config.Document{
 		BaseModels: []config.BaseModel{{ID: "base-0"}},
@@ -37,13 +37,13 @@
 	return d
 }
 
-// estates are the users' estates, cut down to what a test drives in seconds.
+// estates returns the users' estates, reduced to a size that a test can drive in seconds.
 func estates() []workload.Estate {
-	list := []workload.Estate{workload.Address(), workload.Registre()}
-	for i := range list {
-		list[i].Adapters, list[i].BaseModels, list[i].RequestsPerSecond = adapterCount, 1, 20
+	reduced := []workload.Estate{workload.Address(), workload.Registre()}
+	for i := range reduced {
+		reduced[i].Adapters, reduced[i].BaseModels, reduced[i].RequestsPerSecond = adapterCount, 1, 20
 	}
-	return list
+	return reduced
 }
 
 // addEstate adds the classes, callers and adapters of an estate.
@@ -51,7 +51,7 @@
 	for _, c := range e.Classes {
 		d.Classes = append(d.Classes, config.Class{ID: c.Class, NoBatchWait: c.NoBatchWait, Priority: c.Priority})
 		d.Callers = append(d.Callers, config.Caller{
-			Class: c.Class, ID: sandbarrow.CallerID(c.Class), KeySHA256: sandbarrow.DigestOf([]byte(keyOf(c.Class))),
+			Class: c.Class, ID: sandbarrow.CallerID(c.Class), KeySHA256: sandbarrow.DigestOf([]byte(bearerKey(c.Class))),
 		})
 	}
 	for i := range e.Adapters {
@@ -62,8 +62,8 @@
 	}
 }
 
-// keyOf is the bearer key of a class's caller.
-func keyOf(class sandbarrow.CallerClass) string {
+// bearerKey returns the bearer key of a class's caller.
+func bearerKey(class sandbarrow.CallerClass) string {
 	if class == "" {
 		return callerKey
 	}
--- a/internal/systest/wholepath_test.go
+++ b/internal/systest/endtoend_test.go
@@ -12,11 +12,11 @@
 	"sandbarrow.example/sandbarrow/workload"
 )
 
-func TestWholePath(t *testing.T) {
+func TestMixedTrafficEndToEnd(t *testing.T) {
 	t.Parallel()
-	sh := defaultShape()
-	sh.entries, sh.processes = 2, true
-	s := startSystem(t, sh)
+	opts := defaultOptions()
+	opts.entries, opts.standinProcesses = 2, true
+	s := startSystem(t, opts)
 	var calls []*call
 	for _, e := range estates() {
 		for i, r := range workload.Trace(&e, workload.Options{Duration: 2 * time.Second, Seed: 5, Skew: 1.1}) {
@@ -30,7 +30,7 @@
 			case 1:
 				c.stream = true
 			case 2:
-				c.onceKey = c.content
+				c.idempotencyKey = c.content
 			}
 			calls = append(calls, s.start(c))
 		}
@@ -42,9 +42,9 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
+	s := startSystem(t, defaultOptions())
 	for name, tc := range map[string]struct {
 		body, header, key, path, value string
 		status                         int
@@ -52,7 +52,7 @@
 		"broken JSON":      {body: `{"model"`, status: http.StatusBadRequest},
 		"deadline":         {body: `{"model":"adapter-0","prompt":"p"}`, header: "Sandbarrow-Deadline-Ms", value: "soon", status: http.StatusBadRequest},
 		"deadline passed":  {body: `{"model":"adapter-0","prompt":"p"}`, header: "Sandbarrow-Deadline-Ms", value: "0", status: http.StatusBadRequest},
-		"no key":           {body: `{"model":"adapter-0","prompt":"p"}`, key: "other", status: http.StatusUnauthorized},
+		"unknown key":      {body: `{"model":"adapter-0","prompt":"p"}`, key: "other", status: http.StatusUnauthorized},
 		"no model":         {body: `{"prompt":"p"}`, status: http.StatusBadRequest},
 		"no prompt":        {body: `{"model":"adapter-0"}`, status: http.StatusBadRequest},
 		"too large":        {body: string(make([]byte, 2<<20)), status: http.StatusRequestEntityTooLarge},
@@ -61,11 +61,11 @@
 		"unknown model":    {body: `{"model":"nobody","prompt":"p"}`, status: http.StatusNotFound},
 		"unknown path":     {path: "/nowhere", status: http.StatusNotFound},
 		"unnamed version":  {body: `{"model":"adapter-0@v2","prompt":"p"}`, status: http.StatusNotFound},
-		"the right one":    {body: `{"model":"adapter-0@v1","prompt":"p"}`, status: http.StatusOK},
+		"named version":    {body: `{"model":"adapter-0@v1","prompt":"p"}`, status: http.StatusOK},
 		"wrong once value": {body: `{"model":"adapter-0","prompt":"p"}`, header: "Sandbarrow-Once", value: "yes", status: http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			status, problem := s.raw(t, tc.path, tc.body, tc.key, tc.header, tc.value)
+			status, problem := s.sendRaw(t, tc.path, tc.body, tc.key, tc.header, tc.value)
 			assert.Equal(t, status, tc.status)
 			if status != http.StatusOK {
 				assert.Equal(t, problem.Outcome, sandbarrow.OutcomeNotRun)
@@ -75,24 +75,24 @@
 	}
 }
 
-// TestKeyOfAnotherRequest repeats a once-only request, and uses its key for others.
-func TestKeyOfAnotherRequest(t *testing.T) {
+// TestReusedIdempotencyKeyIsRefused retries an at-most-once request and sends others with its key.
+func TestReusedIdempotencyKeyIsRefused(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
+	s := startSystem(t, defaultOptions())
 	for name, tc := range map[string]struct {
 		path, body string
 		status     int
 	}{
 		"1 first":        {"/receipts/a", "body", http.StatusOK},
-		"2 its repeat":   {"/receipts/a", "body", http.StatusOK},
+		"2 its retry":    {"/receipts/a", "body", http.StatusOK},
 		"3 another body": {"/receipts/a", "other", http.StatusBadRequest},
 		"4 another path": {"/receipts/b", "body", http.StatusBadRequest},
 	} {
 		if name != "1 first" {
-			_, _ = s.raw(t, "/receipts/a", "body", "", "Idempotency-Key", "key")
+			_, _ = s.sendRaw(t, "/receipts/a", "body", "", "Idempotency-Key", "key")
 		}
-		status, _ := s.raw(t, tc.path, tc.body, "", "Idempotency-Key", "key")
+		status, _ := s.sendRaw(t, tc.path, tc.body, "", "Idempotency-Key", "key")
 		assert.Equal(t, status, tc.status, name)
 	}
-	assert.Equal(t, len(s.log(s.members[len(s.members)-1].backend).Runs), 1)
+	assert.Equal(t, len(s.upstreamLog(s.members[len(s.members)-1].upstreamURL).Runs), 1)
 }
--- a/internal/systest/fatal_test.go
+++ b/internal/systest/fatal_test.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// fatalRepeats is how often a caller repeats the fatal request, at one entry after the
-	// other.
-	fatalRepeats = 12
-	// fatalMost is how many runs of it may begin: three, and three more.
-	fatalMost = 6
+	// fatalAttempts is how often a caller sends the fatal request, alternating between the entries.
+	fatalAttempts = 12
+	// maxFatalRuns is how many runs of it may begin: three that crash engines and three more sends
+	// after the third crash.
+	maxFatalRuns = 6
 )
 
-func TestFatalRequest(t *testing.T) {
+func TestFatalRequestIsRefusedAfterCrashes(t *testing.T) {
 	t.Parallel()
-	sh := defaultShape()
-	sh.engines, sh.entries = 4, 2
-	s := startSystem(t, sh)
+	opts := defaultOptions()
+	opts.engines, opts.entries = 4, 2
+	s := startSystem(t, opts)
 	fatal := call{adapter: adapter(1), content: "fatal", tokens: 3}
-	for _, m := range s.members[:sh.engines] {
-		s.faults(m.backend, standin.Faults{Fatal: fatal.tag()})
+	for _, m := range s.members[:opts.engines] {
+		s.faults(m.upstreamURL, standin.Faults{Fatal: fatal.tag()})
 	}
 	var last *call
 	refused := 0
-	for i := range fatalRepeats {
+	for i := range fatalAttempts {
 		c := fatal
-		c.entry = i % sh.entries
+		c.entry = i % opts.entries
 		last = s.start(&c).wait(t)
 		assert.Assert(t, last.outcome != sandbarrow.OutcomeComplete)
 		if last.problem.Reason == sandbarrow.ReasonCrashesUpstreams {
@@ -40,19 +40,19 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	runs := 0
-	for _, m := range s.members[:sh.engines] {
-		for _, r := range s.log(m.backend).Runs {
+	for _, m := range s.members[:opts.engines] {
+		for _, r := range s.upstreamLog(m.upstreamURL).Runs {
 			if r.Tag == fatal.tag() {
 				runs++
 			}
 		}
 	}
-	assert.Check(t, runs <= fatalMost, "%d runs of one request ended their engines", runs)
-	assert.Check(t, refused >= fatalRepeats/2, "%d of %d tries were refused", refused, fatalRepeats)
-	assert.Check(t, last.outcome == sandbarrow.OutcomeNotRun, "the last try: %s", last.body)
-	assert.Check(t, last.problem.RetryAfterMS > (time.Minute).Milliseconds(), "when it is forgotten")
+	assert.Check(t, runs <= maxFatalRuns, "%d runs of one request crashed their engines", runs)
+	assert.Check(t, refused >= fatalAttempts/2, "%d of %d attempts were refused", refused, fatalAttempts)
+	assert.Check(t, last.outcome == sandbarrow.OutcomeNotRun, "the last attempt: %s", last.body)
+	assert.Check(t, last.problem.RetryAfterMS > (time.Minute).Milliseconds(), "the retry time is before the crash records expire")
 	other := call{adapter: adapter(1), content: "other", tokens: 3}
-	for i := range sh.entries {
+	for i := range opts.entries {
 		c := other
 		c.entry = i
 		assert.Equal(t, s.start(&c).wait(t).outcome, sandbarrow.OutcomeComplete)
--- a/internal/systest/matrix_test.go
+++ b/internal/systest/matrix_test.go
@@ -14,198 +14,203 @@
 	"sandbarrow.example/sandbarrow/standin"
 )
 
-// fullMatrix is the environment variable that asks for all cells.
-const fullMatrix = "SANDBARROW_MATRIX"
+// matrixVariable is the environment variable that selects all cells when it is set.
+const matrixVariable = "SANDBARROW_MATRIX"
 
-// outage is how long a fault lasts: longer than the lease and than the silence
-// after which a peer counts as gone.
-const outage = 2500 * time.Millisecond
+// faultDuration is how long a fault lasts. It exceeds the time to live of a lease and the heartbeat
+// timeout after which a peer is unreachable.
+const faultDuration = 2500 * time.Millisecond
 
-// kind is a kind of request that the matrix drives.
-type kind struct {
+// requestKind is a kind of request in the fault matrix, with the steps at which faults are injected.
+type requestKind struct {
 	make  func(content string) *call
 	name  string
 	steps []string
 }
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{
-		name:  "whole-answer",
+		name:  "retryable-stream",
 		steps: []string{"dispatch", "queue", "load", "start", "mid-stream", "last-frame"},
 		make: func(content string) *call {
 			return &call{adapter: adapter(1), content: content, stream: true, tokens: 60}
 		},
 	},
 	{
-		name:  "once-adapter",
+		name:  "at-most-once-adapter",
 		steps: []string{"dispatch", "queue", "load", "claim", "start", "acknowledge"},
 		make: func(content string) *call {
-			return &call{adapter: adapter(1), content: content, onceKey: content, tokens: 40}
+			return &call{adapter: adapter(1), content: content, idempotencyKey: content, tokens: 40}
 		},
 	},
 	{
-		name:  "once-service",
+		name:  "at-most-once-service",
 		steps: []string{"dispatch", "queue", "claim", "start", "acknowledge"},
 		make: func(content string) *call {
-			return &call{content: content, onceKey: content, service: true}
+			return &call{content: content, idempotencyKey: content, service: true}
 		},
 	},
 }
 
-// steps bring a request to a step and return it.
-var steps = map[string]func(s *system, k kind) *call{
-	"dispatch": func(_ *system, k kind) *call {
+// prepareStep holds, for each step, a function that brings a request to that step and returns it.
+var prepareStep = map[string]func(s *system, k requestKind) *call{
+	"dispatch": func(_ *system, k requestKind) *call {
 		return k.make("main") // started after the fault
 	},
-	"queue": func(s *system, k kind) *call {
-		for i := range 2 * s.shape.maxRunning {
+	"queue": func(s *system, k requestKind) *call {
+		for i := range 2 * s.options.maxRunning {
 			s.start(k.make(fmt.Sprintf("blocker %d", i)))
 		}
-		s.waitBusy("sandbarrow_running")
+		s.waitGauge("sandbarrow_running")
 		c := s.start(k.make("main"))
-		s.waitBusy("sandbarrow_queued")
+		s.waitGauge("sandbarrow_queued")
 		return c
 	},
-	"load": func(s *system, k kind) *call {
+	"load": func(s *system, k requestKind) *call {
 		c := k.make("main")
 		c.adapter = adapter(2) // not loaded yet
 		s.start(c)
-		s.waitBusy("sandbarrow_queued")
+		s.waitGauge("sandbarrow_queued")
 		return c
 	},
-	"claim": func(s *system, k kind) *call {
+	"claim": func(s *system, k requestKind) *call {
 		s.faults(s.kv, standin.Faults{DelayMS: 150})
 		c := s.start(k.make("main"))
-		s.waitBusy("sandbarrow_running")
+		s.waitGauge("sandbarrow_running")
 		return c
 	},
-	"start": func(s *system, k kind) *call {
+	"start": func(s *system, k requestKind) *call {
 		c := s.start(k.make("main"))
-		s.waitRun(c)
+		s.waitStarted(c)
 		return c
 	},
-	"mid-stream": func(s *system, k kind) *call {
+	"mid-stream": func(s *system, k requestKind) *call {
 		c := s.start(k.make("main"))
 		select {
-		case <-c.began:
+		case <-c.responseStarted:
 		case <-c.done:
 		}
 		return c
 	},
-	"last-frame": func(s *system, k kind) *call {
+	"last-frame": func(s *system, k requestKind) *call {
 		c := s.start(k.make("main"))
-		s.waitRun(c)
-		time.Sleep(time.Duration(c.tokens-1) * s.shape.step)
+		s.waitStarted(c)
+		time.Sleep(time.Duration(c.tokens-1) * s.options.tokenTime)
 		return c
 	},
-	"acknowledge": func(s *system, k kind) *call {
+	"acknowledge": func(s *system, k requestKind) *call {
 		return s.start(k.make("main")).wait(s.t)
 	},
 }
 
-// fault is one fault; begin injects it at a member and end heals it.
+// fault is one fault. inject injects it at a member and heal removes it.
 type fault struct {
-	begin, end func(s *system, m *member)
-	name       string
-	// short cells run in CI too.
+	inject, heal func(s *system, m *member)
+	name         string
+	// short faults also run without matrixVariable, as in CI.
 	short bool
 }
 
-func platformFault(name string, short bool, f standin.Faults) fault {
+func storeFault(name string, short bool, f standin.Faults) fault {
 	return fault{
 		name: name, short: short,
-		begin: func(s *system, _ *member) { s.faults(s.kv, f) },
-		end:   func(s *system, _ *member) { s.faults(s.kv, standin.Faults{}) },
+		inject: func(s *system, _ *member) { s.faults(s.kv, f) },
+		heal:   func(s *system, _ *member) { s.faults(s.kv, standin.Faults{}) },
 	}
 }
 
 func engineFault(name string, short bool, f standin.Faults) fault {
 	return fault{
 		name: name, short: short,
-		begin: func(s *system, m *member) { s.faults(m.backend, f) },
-		end:   func(s *system, m *member) { s.faults(m.backend, standin.Faults{}) },
+		inject: func(s *system, m *member) { s.faults(m.upstreamURL, f) },
+		heal:   func(s *system, m *member) { s.faults(m.upstreamURL, standin.Faults{}) },
 	}
 }
 
 var faults = []fault{
 	{
 		name: "kill-agent", short: true,
-		begin: func(s *system, m *member) { m.process.signal(s.t, syscall.SIGKILL) },
-		end:   func(s *system, m *member) { s.startAgent(m) },
+		inject: func(s *system, m *member) { m.process.signal(s.t, syscall.SIGKILL) },
+		heal:   func(s *system, m *member) { s.startAgent(m) },
 	},
 	{
 		name: "freeze-agent", short: true,
-		begin: func(s *system, m *member) { m.process.signal(s.t, syscall.SIGSTOP) },
-		end:   func(s *system, m *member) { m.process.signal(s.t, syscall.SIGCONT) },
+		inject: func(s *system, m *member) { m.process.signal(s.t, syscall.SIGSTOP) },
+		heal:   func(s *system, m *member) { m.process.signal(s.t, syscall.SIGCONT) },
 	},
 	{
-		name: "cut", short: true,
-		begin: func(_ *system, m *member) { m.relay.setCut(true) },
-		end:   func(_ *system, m *member) { m.relay.setCut(false) },
+		name: "connection-cut", short: true,
+		inject: func(_ *system, m *member) { m.relay.setCut(true) },
+		heal:   func(_ *system, m *member) { m.relay.setCut(false) },
 	},
 	{
-		name:  "half-open-to-entry",
-		begin: func(_ *system, m *member) { m.relay.freezeDown() },
-		end:   func(_ *system, m *member) { m.relay.setCut(true); m.relay.setCut(false) },
+		name:   "half-open-to-entry",
+		inject: func(_ *system, m *member) { m.relay.freezeToEntry() },
+		heal:   func(_ *system, m *member) { m.relay.setCut(true); m.relay.setCut(false) },
 	},
 	{
-		name:  "half-open-to-agent",
-		begin: func(_ *system, m *member) { m.relay.freezeUp() },
-		end:   func(_ *system, m *member) { m.relay.setCut(true); m.relay.setCut(false) },
+		name:   "half-open-to-agent",
+		inject: func(_ *system, m *member) { m.relay.freezeToAgent() },
+		heal:   func(_ *system, m *member) { m.relay.setCut(true); m.relay.setCut(false) },
 	},
 	{
-		name:  "delay",
-		begin: func(_ *system, m *member) { m.relay.setDelay(200 * time.Millisecond) },
-		end:   func(_ *system, m *member) { m.relay.setDelay(0) },
+		name:   "delay",
+		inject: func(_ *system, m *member) { m.relay.setDelay(200 * time.Millisecond) },
+		heal:   func(_ *system, m *member) { m.relay.setDelay(0) },
 	},
 	{
-		name:  "list-down",
-		begin: func(s *system, _ *member) { s.faults(s.list, standin.Faults{Down: true}) },
-		end:   func(s *system, _ *member) { s.faults(s.list, standin.Faults{}) },
+		name:   "box-list-down",
+		inject: func(s *system, _ *member) { s.faults(s.boxListURL, standin.Faults{Down: true}) },
+		heal:   func(s *system, _ *member) { s.faults(s.boxListURL, standin.Faults{}) },
 	},
 	engineFault("engine-restart", true, standin.Faults{Restart: true}),
 	engineFault("engine-truncates", true, standin.Faults{Truncate: 2}),
 	engineFault("engine-wrong-model", false, standin.Faults{WrongModel: 1}),
 	engineFault("load-fails", true, standin.Faults{FailLoads: 1}),
 	engineFault("load-hangs", false, standin.Faults{HangLoads: 1}),
-	platformFault("store-down", true, standin.Faults{Down: true}),
-	platformFault("store-slow", false, standin.Faults{DelayMS: 700}),
-	platformFault("store-answers-lost", true, standin.Faults{LoseReplies: 2}),
+	storeFault("store-down", true, standin.Faults{Down: true}),
+	storeFault("store-slow", false, standin.Faults{DelayMS: 700}),
+	storeFault("store-replies-lost", true, standin.Faults{LoseReplies: 2}),
 }
 
-// pairs of faults: the second comes while the first lasts.
-func pair(a, b fault) fault {
+// overlapping combines two faults: the second is injected during the first.
+func overlapping(a, b fault) fault {
 	return fault{
-		name:  a.name + "+" + b.name,
-		begin: func(s *system, m *member) { a.begin(s, m); b.begin(s, m) },
-		end:   func(s *system, m *member) { b.end(s, m); a.end(s, m) },
+		name:   a.name + "+" + b.name,
+		inject: func(s *system, m *member) { a.inject(s, m); b.inject(s, m) },
+		heal:   func(s *system, m *member) { b.heal(s, m); a.heal(s, m) },
 	}
 }
 
-// twice repeats a fault.
-func twice(f fault) fault {
+// repeated injects a fault, removes it and injects it again.
+func repeated(f fault) fault {
 	return fault{
-		name:  f.name + "+again",
-		begin: func(s *system, m *member) { f.begin(s, m); time.Sleep(outage / 2); f.end(s, m); f.begin(s, m) },
-		end:   f.end,
+		name: f.name + "+again",
+		inject: func(s *system, m *member) {
+			f.inject(s, m)
+			time.Sleep(faultDuration / 2)
+			f.heal(s, m)
+			f.inject(s, m)
+		},
+		heal: f.heal,
 	}
 }
 
-func allFaults() []fault {
+func matrixFaults() []fault {
 	all := faults
-	if os.Getenv(fullMatrix) == "" {
+	if os.Getenv(matrixVariable) == "" {
 		return all
 	}
 	for _, f := range faults {
-		all = append(all, twice(f))
-		if f.name != "store-down" && f.name != "store-slow" && f.name != "store-answers-lost" {
-			all = append(all, pair(faults[storeDown()], f))
+		all = append(all, repeated(f))
+		if f.name != "store-down" && f.name != "store-slow" && f.name != "store-replies-lost" {
+			all = append(all, overlapping(faults[storeDownIndex()], f))
 		}
 	}
 	return all
 }
 
-func storeDown() int {
+func storeDownIndex() int {
 	for i, f := range faults {
 		if f.name == "store-down" {
 			return i
@@ -214,22 +219,22 @@
 	panic("no such fault")
 }
 
-// applies says why a cell does not apply, or returns "".
-func applies(k kind, _ string, f fault) string {
-	if k.name == "once-service" && (f.name == "load-fails" || f.name == "load-hangs" || f.name == "engine-wrong-model" || f.name == "engine-truncates" || f.name == "engine-restart") {
+// skipReason returns why a cell does not apply, or "".
+func skipReason(k requestKind, _ string, f fault) string {
+	if k.name == "at-most-once-service" && (f.name == "load-fails" || f.name == "load-hangs" || f.name == "engine-wrong-model" || f.name == "engine-truncates" || f.name == "engine-restart") {
 		return "a plain service has no adapters and is not an engine"
 	}
 	return ""
 }
 
 func TestFaultMatrix(t *testing.T) {
-	full := os.Getenv(fullMatrix) != ""
-	for _, k := range kinds {
+	full := os.Getenv(matrixVariable) != ""
+	for _, k := range requestKinds {
 		t.Run(k.name, func(t *testing.T) {
 			for _, step := range k.steps {
 				t.Run(step, func(t *testing.T) {
-					for _, f := range allFaults() {
-						if !full && !f.short || testing.Short() || applies(k, step, f) != "" {
+					for _, f := range matrixFaults() {
+						if !full && !f.short || testing.Short() || skipReason(k, step, f) != "" {
 							continue
 						}
 						t.Run(f.name, func(t *testing.T) {
@@ -243,49 +248,49 @@
 	}
 }
 
-func runCell(t *testing.T, k kind, step string, f fault) {
-	sh := defaultShape()
-	sh.loadTime, sh.maxRunning, sh.work = 150*time.Millisecond, 2, 150*time.Millisecond
-	s := startSystem(t, sh)
+func runCell(t *testing.T, k requestKind, step string, f fault) {
+	opts := defaultOptions()
+	opts.loadTime, opts.maxRunning, opts.serviceTime = 150*time.Millisecond, 2, 150*time.Millisecond
+	s := startSystem(t, opts)
 	warm := s.start(k.make("warm")).wait(t)
 	assert.Equal(t, warm.outcome, sandbarrow.OutcomeComplete, warm.body)
-	target := s.runner(warm)
-	c := steps[step](s, k)
+	target := s.memberThatRan(warm)
+	c := prepareStep[step](s, k)
 	if step == "load" {
-		target = s.busy("sandbarrow_queued")
+		target = s.memberWithGauge("sandbarrow_queued")
 	}
-	f.begin(s, target)
+	f.inject(s, target)
 	if step == "dispatch" {
 		s.start(c)
 	}
-	time.Sleep(outage)
-	f.end(s, target)
+	time.Sleep(faultDuration)
+	f.heal(s, target)
 	s.faults(s.kv, standin.Faults{})
 	c.wait(t)
-	// A caller that was left without a whole answer sends its request again.
+	// A caller without a complete response retries its request.
 	if c.outcome != sandbarrow.OutcomeComplete || step == "acknowledge" {
 		again := k.make("main")
 		again.adapter = c.adapter
 		s.start(again).wait(t)
 	}
-	s.normal(k)
+	s.waitServing(k)
 	s.checker.verify("v1")
 }
 
-// normal waits until new requests get whole answers again.
-func (s *system) normal(k kind) {
+// waitServing waits until new requests get complete responses again.
+func (s *system) waitServing(k requestKind) {
 	s.t.Helper()
 	n := 0
-	await.Until(s.t, 10*time.Second, "whole answers again", func() bool {
+	await.Until(s.t, 10*time.Second, "complete responses again", func() bool {
 		n++
 		return s.start(k.make(fmt.Sprintf("after %d", n))).wait(s.t).outcome == sandbarrow.OutcomeComplete
 	})
 }
 
-// runner returns the member that ran a call.
-func (s *system) runner(c *call) *member {
+// memberThatRan returns the member whose upstream ran a call, or nil.
+func (s *system) memberThatRan(c *call) *member {
 	for _, m := range s.members {
-		for _, r := range s.log(m.backend).Runs {
+		for _, r := range s.upstreamLog(m.upstreamURL).Runs {
 			if r.Tag == c.tag() {
 				return m
 			}
@@ -294,28 +299,28 @@
 	return nil
 }
 
-// waitRun waits until a call has started at an upstream.
-func (s *system) waitRun(c *call) {
+// waitStarted waits until a call runs at an upstream.
+func (s *system) waitStarted(c *call) {
 	s.t.Helper()
-	await.Until(s.t, 5*time.Second, "run started", func() bool { return s.runner(c) != nil })
+	await.Until(s.t, 5*time.Second, "run started", func() bool { return s.memberThatRan(c) != nil })
 }
 
-// busy returns a member whose gauge is above zero.
-func (s *system) busy(gauge string) *member {
+// memberWithGauge returns a member whose gauge is above zero, or nil.
+func (s *system) memberWithGauge(gauge string) *member {
 	for _, m := range s.members {
-		if metric(m.url(s.t), gauge) > 0 {
+		if metric(m.metricsURL(s.t), gauge) > 0 {
 			return m
 		}
 	}
 	return nil
 }
 
-func (s *system) waitBusy(gauge string) {
+func (s *system) waitGauge(gauge string) {
 	s.t.Helper()
-	await.Until(s.t, 5*time.Second, gauge, func() bool { return s.busy(gauge) != nil })
+	await.Until(s.t, 5*time.Second, gauge, func() bool { return s.memberWithGauge(gauge) != nil })
 }
 
-// url is where a member's agent serves its metrics.
-func (m *member) url(t testing.TB) string {
-	return "http://" + m.process.field(t, "agent started", "http")
+// metricsURL returns the base URL of the metrics of a member's agent.
+func (m *member) metricsURL(t testing.TB) string {
+	return "http://" + m.process.logField(t, "agent started", "http")
 }
--- a/internal/systest/relay_test.go
+++ b/internal/systest/relay_test.go
@@ -9,24 +9,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay forwards TCP connections to an agent and can cut, freeze or delay them.
+// relay forwards TCP connections to an agent and can close, freeze or delay them.
 type relay struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	cut    bool
-	delay  time.Duration
-	down   chan struct{} // closed while data towards the entry flows
-	target string
-	up     chan struct{} // closed while data towards the agent flows
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	cut       bool
+	delay     time.Duration
+	entryGate chan struct{} // closed unless data to the entry is frozen
+	target    string
+	agentGate chan struct{} // closed unless data to the agent is frozen
 }
 
 func startRelay(t testing.TB) *relay {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	r := &relay{conns: map[net.Conn]bool{}, listener: l, down: flowing(), up: flowing()}
+	r := &relay{conns: map[net.Conn]bool{}, listener: l, entryGate: openGate(), agentGate: openGate()}
 	t.Cleanup(func() {
 		_ = l.Close()
 		r.setCut(true)
@@ -35,7 +35,7 @@
 	return r
 }
 
-func flowing() chan struct{} {
+func openGate() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -58,18 +58,18 @@
 		r.mu.Lock()
 		r.conns[in], r.conns[out] = true, true
 		r.mu.Unlock()
-		go r.forward(out, in, func() chan struct{} { return r.up })
-		go r.forward(in, out, func() chan struct{} { return r.down })
+		go r.forward(out, in, func() chan struct{} { return r.agentGate })
+		go r.forward(in, out, func() chan struct{} { return r.entryGate })
 	}
 }
 
-func (r *relay) forward(to, from net.Conn, flow func() chan struct{}) {
+func (r *relay) forward(to, from net.Conn, currentGate func() chan struct{}) {
 	defer to.Close()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		r.mu.Lock()
-		gate, delay := flow(), r.delay
+		gate, delay := currentGate(), r.delay
 		r.mu.Unlock()
 		<-gate
 		time.Sleep(delay)
@@ -81,7 +81,7 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// setCut closes all connections and refuses new ones, or lets them in again.
+// setCut closes all connections and refuses new ones, or accepts new ones again.
 func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +93,7 @@
 		}
 	}
 	if cut {
-		r.down, r.up = flowing(), flowing()
+		r.entryGate, r.agentGate = openGate(), openGate()
 	}
 }
 
@@ -103,17 +103,18 @@
 	r.delay = d
 }
 
-// freezeDown holds back what the agent sends, freezeUp what the entry sends.
-func (r *relay) freezeDown() {
+// freezeToEntry blocks the data from the agent until the next cut.
+func (r *relay) freezeToEntry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.down = make(chan struct{})
+	r.entryGate = make(chan struct{})
 }
 
-func (r *relay) freezeUp() {
+// freezeToAgent blocks the data from the entry until the next cut.
+func (r *relay) freezeToAgent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.up = make(chan struct{})
+	r.agentGate = make(chan struct{})
 }
 
 func (r *relay) setTarget(address string) {
--- a/internal/systest/slope_test.go
+++ b/internal/systest/slope_test.go
@@ -15,7 +15,7 @@
 	"sandbarrow.example/sandbarrow/wire"
 )
 
-// cpuTime is the processor time that a process has used.
+// cpuTime returns the processor time that a process has used.
 func cpuTime(t testing.TB, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	assert.NilError(t, err)
@@ -48,12 +48,12 @@
 func BenchmarkConnectionSlope(b *testing.B) {
 	for _, n := range []int{50, 200, 400} {
 		b.Run(fmt.Sprintf("entries=%d", n), func(b *testing.B) {
-			sh := defaultShape()
-			sh.engines, sh.entries = 1, 0
-			sh.leaseTTL = 6 * time.Second
-			s := startSystem(b, sh)
+			opts := defaultOptions()
+			opts.engines, opts.entries = 1, 0
+			opts.leaseTTL = 6 * time.Second
+			s := startSystem(b, opts)
 			p := s.members[0].process
-			address := p.field(b, "agent started", "rpc")
+			address := p.logField(b, "agent started", "rpc")
 			const idle = 5 * time.Second
 			for b.Loop() {
 				time.Sleep(time.Second)
@@ -62,12 +62,12 @@
 				alone = cpuTime(b, p.cmd.Process.Pid) - alone
 				b.ReportMetric(residentMB(b, p.cmd.Process.Pid), "MB-alone")
 				before := residentMB(b, p.cmd.Process.Pid)
-				conns := idleEntries(b, address, n)
+				conns := openIdleConnections(b, address, n)
 				time.Sleep(time.Second)
-				start, read, written := cpuTime(b, p.cmd.Process.Pid), sum(conns).read, sum(conns).written
+				start, read, written := cpuTime(b, p.cmd.Process.Pid), totalBytes(conns).read, totalBytes(conns).written
 				time.Sleep(idle)
 				used := cpuTime(b, p.cmd.Process.Pid) - start - alone
-				after := sum(conns)
+				after := totalBytes(conns)
 				b.ReportMetric((residentMB(b, p.cmd.Process.Pid)-before)*1024/float64(n), "KB/entry")
 				b.ReportMetric(float64(used.Microseconds())/float64(n)/idle.Seconds(), "cpu-µs/s/entry")
 				b.ReportMetric(float64(alone.Microseconds())/idle.Seconds(), "cpu-µs/s-alone")
@@ -79,8 +79,8 @@
 	}
 }
 
-// idleEntries opens the control lanes of n entries that send marks alone.
-func idleEntries(b *testing.B, address string, n int) []*countingConn {
+// openIdleConnections opens the control connections of n entries that send only watermarks.
+func openIdleConnections(b *testing.B, address string, n int) []*countingConn {
 	conns := make([]*countingConn, n)
 	for i := range conns {
 		conn, err := net.Dial("tcp", address)
@@ -100,7 +100,7 @@
 	return conns
 }
 
-func sum(conns []*countingConn) countingConn {
+func totalBytes(conns []*countingConn) countingConn {
 	var total countingConn
 	for _, c := range conns {
 		total.read += c.read
--- a/internal/systest/stops_test.go
+++ b/internal/systest/stops_test.go
@@ -14,11 +14,11 @@
 	"sandbarrow.example/sandbarrow/standin"
 )
 
-// leaveLimit is the promise: a leaving upstream gets no new work after it.
-const leaveLimit = 3 * time.Second
+// drainLimit is the guaranteed time after which a draining upstream gets no new requests.
+const drainLimit = 3 * time.Second
 
-// drive sends requests until stopped and returns them.
-func (s *system) drive(pause time.Duration, next func(i int) *call) (stop func() []*call) {
+// sendContinuously sends requests until stop is called, which waits for them and returns them.
+func (s *system) sendContinuously(pause time.Duration, next func(i int) *call) (stop func() []*call) {
 	end := make(chan struct{})
 	var calls []*call
 	var wg sync.WaitGroup
@@ -42,47 +42,47 @@
 	}
 }
 
-func streamOf(i int) *call {
+func streamCall(i int) *call {
 	return &call{adapter: adapter(i % 4), content: fmt.Sprintf("driven %d", i), stream: true, tokens: 40}
 }
 
-func wholeCalls(t *testing.T, calls []*call) {
+func assertComplete(t *testing.T, calls []*call) {
 	t.Helper()
 	for _, c := range calls {
 		assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, "%s: %d %v %s", c.content, c.status, c.err, c.body)
 	}
 }
 
-func TestFaultMatrixLeave(t *testing.T) {
-	for name, announce := range map[string]func(s *system, m *member){
+func TestFaultMatrixDrain(t *testing.T) {
+	for name, startDrain := range map[string]func(s *system, m *member){
 		"list": func(s *system, m *member) {
 			m.box.State = sandbarrow.BoxDraining
-			s.publish()
+			s.publishBoxes()
 		},
 		"list-with-store-down": func(s *system, m *member) {
 			s.faults(s.kv, standin.Faults{Down: true})
 			m.box.State = sandbarrow.BoxDraining
-			s.publish()
+			s.publishBoxes()
 		},
 		"signal-with-list-down": func(s *system, m *member) {
-			s.faults(s.list, standin.Faults{Down: true})
+			s.faults(s.boxListURL, standin.Faults{Down: true})
 			m.process.signal(s.t, syscall.SIGTERM)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startSystem(t, defaultShape())
-			stop := s.drive(20*time.Millisecond, streamOf)
+			s := startSystem(t, defaultOptions())
+			stop := s.sendContinuously(20*time.Millisecond, streamCall)
 			time.Sleep(500 * time.Millisecond)
 			m := s.members[0]
-			announce(s, m)
-			time.Sleep(leaveLimit)
-			before := len(s.log(m.backend).Runs)
+			startDrain(s, m)
+			time.Sleep(drainLimit)
+			before := len(s.upstreamLog(m.upstreamURL).Runs)
 			time.Sleep(time.Second)
-			assert.Equal(t, len(s.log(m.backend).Runs), before, "the leaving upstream got new work")
+			assert.Equal(t, len(s.upstreamLog(m.upstreamURL).Runs), before, "the draining upstream got new requests")
 			calls := stop()
 			assert.Assert(t, before > 0 && len(calls) > 100, "%d runs, %d calls", before, len(calls))
-			wholeCalls(t, calls)
+			assertComplete(t, calls)
 			s.checker.verify("v1")
 		})
 	}
@@ -92,64 +92,64 @@
 	for _, storeDown := range []bool{false, true} {
 		t.Run(fmt.Sprintf("agent/store-down-%t", storeDown), func(t *testing.T) {
 			t.Parallel()
-			s := startSystem(t, defaultShape())
+			s := startSystem(t, defaultOptions())
 			s.faults(s.kv, standin.Faults{Down: storeDown})
-			stop := s.drive(20*time.Millisecond, streamOf)
+			stop := s.sendContinuously(20*time.Millisecond, streamCall)
 			time.Sleep(500 * time.Millisecond)
 			s.members[0].process.signal(t, syscall.SIGTERM)
-			s.members[0].process.exits(t, 10*time.Second)
+			s.members[0].process.waitExit(t, 10*time.Second)
 			time.Sleep(300 * time.Millisecond)
-			wholeCalls(t, stop())
+			assertComplete(t, stop())
 			s.checker.verify("v1")
 		})
 		t.Run(fmt.Sprintf("entry/store-down-%t", storeDown), func(t *testing.T) {
 			t.Parallel()
-			s := startSystem(t, defaultShape())
+			s := startSystem(t, defaultOptions())
 			s.faults(s.kv, standin.Faults{Down: storeDown})
 			var calls []*call
 			for i := range 8 {
-				c := streamOf(i)
+				c := streamCall(i)
 				c.tokens = 300
 				calls = append(calls, s.start(c))
 			}
 			for _, c := range calls {
-				<-c.began
+				<-c.responseStarted
 			}
 			s.entries[0].signal(t, syscall.SIGTERM)
-			calls = append(calls, s.start(streamOf(100))) // the balancer has not seen it yet
+			calls = append(calls, s.start(streamCall(100))) // a load balancer may still send to the stopping entry
 			for _, c := range calls {
 				c.wait(t)
 			}
-			s.entries[0].exits(t, 10*time.Second)
-			wholeCalls(t, calls)
+			s.entries[0].waitExit(t, 10*time.Second)
+			assertComplete(t, calls)
 			s.checker.verify("v1")
 		})
 	}
 }
 
 func TestFaultMatrixUnload(t *testing.T) {
-	for name, disturb := range map[string]func(s *system, m *member){
+	for name, inject := range map[string]func(s *system, m *member){
 		"nothing":        func(*system, *member) {},
 		"agent-replaced": func(s *system, m *member) { m.process.signal(s.t, syscall.SIGKILL); s.startAgent(m) },
 		"agent-frozen": func(s *system, m *member) {
 			m.process.signal(s.t, syscall.SIGSTOP)
-			time.Sleep(outage)
+			time.Sleep(faultDuration)
 			m.process.signal(s.t, syscall.SIGCONT)
 		},
-		"engine-restart": func(s *system, m *member) { s.faults(m.backend, standin.Faults{Restart: true}) },
+		"engine-restart": func(s *system, m *member) { s.faults(m.upstreamURL, standin.Faults{Restart: true}) },
 		"store-down": func(s *system, _ *member) {
 			s.faults(s.kv, standin.Faults{Down: true})
-			time.Sleep(outage)
+			time.Sleep(faultDuration)
 			s.faults(s.kv, standin.Faults{})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sh := defaultShape()
-			sh.slots = 2
-			s := startSystem(t, sh)
-			stop := s.drive(15*time.Millisecond, func(i int) *call {
-				c := streamOf(i)
+			opts := defaultOptions()
+			opts.slots = 2
+			s := startSystem(t, opts)
+			stop := s.sendContinuously(15*time.Millisecond, func(i int) *call {
+				c := streamCall(i)
 				c.adapter = adapter(i * 5)
 				if i%7 == 0 {
 					c.deadline = 150 * time.Millisecond
@@ -157,13 +157,13 @@
 				return c
 			})
 			time.Sleep(time.Second)
-			disturb(s, s.members[0])
+			inject(s, s.members[0])
 			time.Sleep(2 * time.Second)
 			stop()
 			s.checker.verify("v1")
 			unloads := 0
 			for _, m := range s.members {
-				for _, o := range s.log(m.backend).Orders {
+				for _, o := range s.upstreamLog(m.upstreamURL).Orders {
 					if o.Unload {
 						unloads++
 					}
@@ -174,153 +174,153 @@
 	}
 }
 
-func TestFrozenAgent(t *testing.T) {
-	for _, once := range []string{"", "key"} {
-		t.Run("once="+once, func(t *testing.T) {
+func TestRequestsSurviveFrozenAgent(t *testing.T) {
+	for _, key := range []string{"", "key"} {
+		t.Run("idempotency-key="+key, func(t *testing.T) {
 			t.Parallel()
-			s := startSystem(t, defaultShape())
+			s := startSystem(t, defaultOptions())
 			warm := s.start(&call{adapter: adapter(1), content: "warm", tokens: 5}).wait(t)
 			assert.Equal(t, warm.outcome, sandbarrow.OutcomeComplete)
-			frozen := s.runner(warm)
+			frozen := s.memberThatRan(warm)
 			frozen.process.signal(t, syscall.SIGSTOP)
-			c := s.start(&call{adapter: adapter(1), content: "main", onceKey: once, tokens: 5}).wait(t)
+			c := s.start(&call{adapter: adapter(1), content: "main", idempotencyKey: key, tokens: 5}).wait(t)
 			frozen.process.signal(t, syscall.SIGCONT)
-			time.Sleep(time.Second) // a late copy would run now
+			time.Sleep(time.Second) // a delayed attempt would run now
 			assert.Equal(t, c.outcome, sandbarrow.OutcomeComplete, c.body)
-			assert.Assert(t, c.took < 4*time.Second, "took %v", c.took)
+			assert.Assert(t, c.duration < 4*time.Second, "took %v", c.duration)
 			s.checker.verify("v1")
 		})
 	}
 }
 
-func TestFrozenService(t *testing.T) {
+func TestRequestToFrozenServiceIsNotRun(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
+	s := startSystem(t, defaultOptions())
 	s.start(&call{content: "warm", service: true}).wait(t)
 	frozen := s.members[len(s.members)-1]
 	frozen.process.signal(t, syscall.SIGSTOP)
-	c := s.start(&call{content: "main", onceKey: "key", service: true}).wait(t)
+	c := s.start(&call{content: "main", idempotencyKey: "key", service: true}).wait(t)
 	frozen.process.signal(t, syscall.SIGCONT)
-	time.Sleep(time.Second) // a late copy would run now
+	time.Sleep(time.Second) // a delayed attempt would run now
 	assert.Equal(t, c.outcome, sandbarrow.OutcomeNotRun, c.body)
 	assert.Assert(t, c.problem.RetryAfterMS > 0)
-	assert.Assert(t, c.took < 4*time.Second, "took %v", c.took)
+	assert.Assert(t, c.duration < 4*time.Second, "took %v", c.duration)
 	s.checker.verify("v1")
-	again := s.start(&call{content: "main", onceKey: "key", service: true})
+	again := s.start(&call{content: "main", idempotencyKey: "key", service: true})
 	s.waitConnected(0, len(s.members))
 	again.wait(t)
-	s.normal(kinds[2])
+	s.waitServing(requestKinds[2])
 	s.checker.verify("v1")
 }
 
-func TestEngineRestart(t *testing.T) {
+func TestRequestsResumeAfterEngineRestart(t *testing.T) {
 	t.Parallel()
-	sh := defaultShape()
-	sh.engines = 1
-	s := startSystem(t, sh)
-	assert.Equal(t, s.start(kinds[0].make("warm")).wait(t).outcome, sandbarrow.OutcomeComplete)
-	s.faults(s.members[0].backend, standin.Faults{Restart: true})
-	s.faults(s.members[0].backend, standin.Faults{})
-	s.normal(kinds[0])
+	opts := defaultOptions()
+	opts.engines = 1
+	s := startSystem(t, opts)
+	assert.Equal(t, s.start(requestKinds[0].make("warm")).wait(t).outcome, sandbarrow.OutcomeComplete)
+	s.faults(s.members[0].upstreamURL, standin.Faults{Restart: true})
+	s.faults(s.members[0].upstreamURL, standin.Faults{})
+	s.waitServing(requestKinds[0])
 	s.checker.verify("v1")
 }
 
-func TestOnceWithoutStore(t *testing.T) {
+func TestAtMostOnceIsRefusedWithoutStore(t *testing.T) {
 	for name, f := range map[string]standin.Faults{"down": {Down: true}, "hangs": {DelayMS: 6_000}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := startSystem(t, defaultShape())
-			s.start(kinds[1].make("warm")).wait(t)
+			s := startSystem(t, defaultOptions())
+			s.start(requestKinds[1].make("warm")).wait(t)
 			s.faults(s.kv, f)
-			c := s.start(kinds[1].make("main")).wait(t)
+			c := s.start(requestKinds[1].make("main")).wait(t)
 			assert.Equal(t, c.outcome, sandbarrow.OutcomeNotRun, c.body)
 			assert.Assert(t, c.problem.RetryAfterMS > 0)
-			assert.Assert(t, c.took < 3*time.Second, "took %v", c.took)
+			assert.Assert(t, c.duration < 3*time.Second, "took %v", c.duration)
 			s.faults(s.kv, standin.Faults{})
 			s.checker.verify("v1")
 		})
 	}
 }
 
-func TestOverload(t *testing.T) {
+func TestOverloadedSystemRefusesExcess(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
-	stop := s.drive(3*time.Millisecond, func(i int) *call {
-		c := streamOf(i)
+	s := startSystem(t, defaultOptions())
+	stop := s.sendContinuously(3*time.Millisecond, func(i int) *call {
+		c := streamCall(i)
 		c.deadline = 2 * time.Second
 		return c
 	})
 	time.Sleep(5 * time.Second)
-	seen := map[sandbarrow.Outcome]int{}
+	outcomes := map[sandbarrow.Outcome]int{}
 	for _, c := range stop() {
-		seen[c.outcome]++
+		outcomes[c.outcome]++
 		assert.Assert(t, c.outcome != sandbarrow.OutcomeNotRun || c.problem.RetryAfterMS > 0)
 	}
 	s.checker.verify("v1")
-	t.Logf("%v", seen)
-	assert.Assert(t, seen[sandbarrow.OutcomeUnknown] < seen[sandbarrow.OutcomeComplete]/10, "%v", seen)
-	assert.Assert(t, seen[sandbarrow.OutcomeComplete] > 200 && seen[sandbarrow.OutcomeNotRun] > 200, "%v", seen)
+	t.Logf("%v", outcomes)
+	assert.Assert(t, outcomes[sandbarrow.OutcomeUnknown] < outcomes[sandbarrow.OutcomeComplete]/10, "%v", outcomes)
+	assert.Assert(t, outcomes[sandbarrow.OutcomeComplete] > 200 && outcomes[sandbarrow.OutcomeNotRun] > 200, "%v", outcomes)
 }
 
-func TestOrdersInOutage(t *testing.T) {
+func TestLoadsDuringStoreOutage(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks-token-%t", checks), func(t *testing.T) {
 			t.Parallel()
-			sh := defaultShape()
-			sh.checksToken, sh.engines, sh.slots = checks, 1, 2
-			s := startSystem(t, sh)
-			ask := func(i int, content string) *call {
+			opts := defaultOptions()
+			opts.checksToken, opts.engines, opts.slots = checks, 1, 2
+			s := startSystem(t, opts)
+			request := func(i int, content string) *call {
 				return s.start(&call{adapter: adapter(i), content: content, deadline: 4 * time.Second, tokens: 5}).wait(t)
 			}
 			for i := range 2 {
-				assert.Equal(t, ask(i, fmt.Sprint("warm ", i)).outcome, sandbarrow.OutcomeComplete)
+				assert.Equal(t, request(i, fmt.Sprint("warm ", i)).outcome, sandbarrow.OutcomeComplete)
 			}
 			s.faults(s.kv, standin.Faults{Down: true})
-			time.Sleep(outage)
-			orders := len(s.log(s.members[0].backend).Orders)
-			cold := ask(2, "cold")
-			assert.Equal(t, ask(0, "loaded").outcome == sandbarrow.OutcomeComplete, true)
+			time.Sleep(faultDuration)
+			orders := len(s.upstreamLog(s.members[0].upstreamURL).Orders)
+			cold := request(2, "cold")
+			assert.Equal(t, request(0, "loaded").outcome == sandbarrow.OutcomeComplete, true)
 			if checks {
 				assert.Equal(t, cold.outcome, sandbarrow.OutcomeComplete, cold.body)
 			} else {
 				assert.Equal(t, cold.outcome, sandbarrow.OutcomeNotRun, cold.body)
-				assert.Equal(t, len(s.log(s.members[0].backend).Orders), orders, "an order without a lease")
+				assert.Equal(t, len(s.upstreamLog(s.members[0].upstreamURL).Orders), orders, "an order was sent without a lease")
 			}
 			s.faults(s.kv, standin.Faults{})
-			await.Until(t, 10*time.Second, "a cold adapter is loaded again", func() bool {
-				return ask(3, "after").outcome == sandbarrow.OutcomeComplete
+			await.Until(t, 10*time.Second, "adapters load again", func() bool {
+				return request(3, "after").outcome == sandbarrow.OutcomeComplete
 			})
 			s.checker.verify("v1")
 		})
 	}
 }
 
-func TestLostLoadReply(t *testing.T) {
+func TestLostLoadReplyFreesSlot(t *testing.T) {
 	t.Parallel()
-	sh := defaultShape()
-	sh.engines, sh.slots = 1, 1
-	s := startSystem(t, sh)
-	s.faults(s.members[0].backend, standin.Faults{LoseReplies: 1})
+	opts := defaultOptions()
+	opts.engines, opts.slots = 1, 1
+	s := startSystem(t, opts)
+	s.faults(s.members[0].upstreamURL, standin.Faults{LoseReplies: 1})
 	s.start(&call{adapter: adapter(1), content: "lost", tokens: 5}).wait(t)
-	await.Until(t, 8*time.Second, "another adapter gets the slot", func() bool {
+	await.Until(t, 8*time.Second, "another adapter is loaded in the only slot", func() bool {
 		c := s.start(&call{adapter: adapter(2), content: "main", deadline: 3 * time.Second, tokens: 5}).wait(t)
 		return c.outcome == sandbarrow.OutcomeComplete
 	})
 	s.checker.verify("v1")
 }
 
-// TestBoxMoves replaces an agent's box by one of the same name at another address.
-func TestBoxMoves(t *testing.T) {
+// TestMovedBoxIsReconnected replaces an agent's box by one with the same ID at another address.
+func TestMovedBoxIsReconnected(t *testing.T) {
 	t.Parallel()
-	s := startSystem(t, defaultShape())
+	s := startSystem(t, defaultOptions())
 	m := s.members[0]
 	m.relay.setCut(true)
-	await.Until(t, 5*time.Second, "the old box is missed", func() bool {
+	await.Until(t, 5*time.Second, "the box is disconnected", func() bool {
 		return metric(s.urls[0], "sandbarrow_agents_connected") == float64(len(s.members)-1)
 	})
-	m.box.Address = m.process.field(t, "agent started", "rpc")
-	s.publish()
+	m.box.Address = m.process.logField(t, "agent started", "rpc")
+	s.publishBoxes()
 	s.waitConnected(0, len(s.members))
-	s.normal(kinds[0])
+	s.waitServing(requestKinds[0])
 	s.checker.verify("v1")
 }
--- a/internal/systest/system_test.go
+++ b/internal/systest/system_test.go
@@ -22,8 +22,8 @@
 
 	"sandbarrow.example/sandbarrow"
 	"sandbarrow.example/sandbarrow/config"
-	// The tests run the built binaries; the import makes a change of any package
-	// in them a change of the tests, whose results are cached otherwise.
+	// The tests run the built binaries. This import makes test results depend on all packages of
+	// those binaries. Without it, go test would reuse cached results after they change.
 	"sandbarrow.example/sandbarrow/internal/await"
 	_ "sandbarrow.example/sandbarrow/internal/cmd"
 	"sandbarrow.example/sandbarrow/platform"
@@ -31,14 +31,14 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// bin is the folder of the built binaries.
+// bin is the directory of the built binaries.
 var bin string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "sandbarrow")
 	if err != nil {
 		fmt.Println(err)
@@ -54,17 +54,17 @@
 	return m.Run()
 }
 
-// process is one started binary; its first log lines tell its addresses.
+// process is one started binary. Its first log lines report its addresses.
 type process struct {
-	cmd   *exec.Cmd
-	log   string
-	mu    sync.Mutex
-	lines map[string]map[string]any // by message
+	cmd    *exec.Cmd
+	log    string
+	mu     sync.Mutex
+	events map[string]map[string]any // by message
 }
 
 func startProcess(t testing.TB, name string, args ...string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(filepath.Join(bin, name), args...), lines: map[string]map[string]any{}}
+	p := &process{cmd: exec.Command(filepath.Join(bin, name), args...), events: map[string]map[string]any{}}
 	stderr, err := p.cmd.StderrPipe()
 	assert.NilError(t, err)
 	assert.NilError(t, p.cmd.Start())
@@ -89,30 +89,30 @@
 		p.mu.Lock()
 		p.log += s.Text() + "\n"
 		if message, ok := line["msg"].(string); ok {
-			p.lines[message] = line
+			p.events[message] = line
 		}
 		p.mu.Unlock()
 	}
 }
 
-// dumpTime is how long a process is given to write what its goroutines do.
+// dumpTime is how long a process has to write its goroutine dump.
 const dumpTime = 500 * time.Millisecond
 
-// field waits for a log message and returns one of its fields. Where it does not come,
-// the process is made to write what all its goroutines do into its log.
-func (p *process) field(t testing.TB, message, key string) string {
+// logField waits for a log message and returns one of its fields. If the message is missing, it
+// makes the process write a goroutine dump into its log.
+func (p *process) logField(t testing.TB, message, key string) string {
 	t.Helper()
 	var value string
 	defer func() {
 		if value == "" {
-			_ = p.cmd.Process.Signal(syscall.SIGQUIT) // one that has ended has written why
+			_ = p.cmd.Process.Signal(syscall.SIGQUIT) // fails for a process that has exited; its log has the reason
 			time.Sleep(dumpTime)
 		}
 	}()
 	await.Until(t, 10*time.Second, message, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		value, _ = p.lines[message][key].(string)
+		value, _ = p.events[message][key].(string)
 		return value != ""
 	})
 	return value
@@ -122,33 +122,33 @@
 	t.Helper()
 	assert.NilError(t, p.cmd.Process.Signal(s))
 	if s == syscall.SIGSTOP {
-		p.awaitStop(t)
+		p.waitStopped(t)
 	}
 }
 
-// awaitStop waits until all threads of a process that was told to stop have
-// stopped: one that still runs after the signal was sent can start a request.
-func (p *process) awaitStop(t testing.TB) {
+// waitStopped waits until all threads of a process are stopped after SIGSTOP. A thread that still
+// runs after the signal was sent can start a request.
+func (p *process) waitStopped(t testing.TB) {
 	t.Helper()
 	began := time.Now()
-	for !p.stopped(t) {
+	for !p.allThreadsStopped(t) {
 		if time.Since(began) > 10*time.Second {
-			t.Fatal("a process runs on 10 s after SIGSTOP")
+			t.Fatal("the process still runs 10 s after SIGSTOP")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	t.Logf("stopped after %v", time.Since(began))
 }
 
-// stopped reports whether all threads of a process are stopped.
-func (p *process) stopped(t testing.TB) bool {
+// allThreadsStopped reports whether all threads of a process are stopped.
+func (p *process) allThreadsStopped(t testing.TB) bool {
 	t.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	assert.NilError(t, err)
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		_, state, _ := strings.Cut(string(text), ") ")
 		if !strings.HasPrefix(state, "T") {
@@ -158,8 +158,8 @@
 	return true
 }
 
-// exits waits for the end of a process.
-func (p *process) exits(t *testing.T, within time.Duration) {
+// waitExit waits until a process exits without an error.
+func (p *process) waitExit(t *testing.T, within time.Duration) {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- p.cmd.Wait() }()
@@ -171,74 +171,74 @@
 	}
 }
 
-// shape describes a system under test.
-type shape struct {
+// options describes a system under test.
+type options struct {
 	checksToken bool
 	engines     int
 	entries     int
 	leaseTTL    time.Duration
 	loadTime    time.Duration
 	maxRunning  int
-	// processes runs the stand-ins as processes of their own too.
-	processes bool
-	slots     int
-	step      time.Duration
-	work      time.Duration
+	// standinProcesses starts the stand-ins as separate processes too.
+	standinProcesses bool
+	slots            int
+	tokenTime        time.Duration
+	serviceTime      time.Duration
 }
 
-func defaultShape() shape {
-	return shape{
+func defaultOptions() options {
+	return options{
 		checksToken: true, engines: 2, entries: 1, leaseTTL: 2 * time.Second, loadTime: 20 * time.Millisecond,
-		maxRunning: 8, slots: 4, step: 5 * time.Millisecond, work: 20 * time.Millisecond,
+		maxRunning: 8, slots: 4, tokenTime: 5 * time.Millisecond, serviceTime: 20 * time.Millisecond,
 	}
 }
 
 // member is one agent with its upstream and the relay in front of it.
 type member struct {
-	backend string // URL of the upstream
-	box     sandbarrow.Box
-	file    string
-	process *process
-	relay   *relay
+	upstreamURL  string // URL of the upstream
+	box          sandbarrow.Box
+	settingsFile string
+	process      *process
+	relay        *relay
 }
 
 // system is a running system under test.
 type system struct {
-	checker *checker
-	dir     string
-	entries []*process
-	kv      string
-	list    string
-	members []*member
-	shape   shape
-	t       testing.TB
-	urls    []string // of the entries
-	weights string
+	checker        *checker
+	dir            string
+	entries        []*process
+	kv             string // URL of the key-value store
+	boxListURL     string
+	members        []*member
+	options        options
+	t              testing.TB
+	urls           []string // base URLs of the entries
+	weightStoreURL string
 }
 
-// startSystem starts stand-ins in this process, and agents and entries as
-// processes of their own. The last member is a plain service.
-func startSystem(t testing.TB, sh shape) *system {
+// startSystem starts agents and entries as separate processes, and the stand-ins in this process
+// unless the options say otherwise. The last member is a plain service.
+func startSystem(t testing.TB, opts options) *system {
 	t.Helper()
-	s := &system{dir: t.TempDir(), shape: sh, t: t}
+	s := &system{dir: t.TempDir(), options: opts, t: t}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	s.kv = s.standin(standin.NewKV(standin.KVLimits{}), "kv")
-	s.list = s.standin(standin.NewBoxList(0), "boxlist")
-	s.weights = s.standin(standin.NewWeightStore(standin.WeightLimits{Load: sh.loadTime, Parallel: 8}),
-		"weights", "--load", sh.loadTime.String(), "--parallel", "8")
+	s.boxListURL = s.standin(standin.NewBoxList(0), "boxlist")
+	s.weightStoreURL = s.standin(standin.NewWeightStore(standin.WeightLimits{Load: opts.loadTime, Parallel: 8}),
+		"weights", "--load", opts.loadTime.String(), "--parallel", "8")
 	result, _, err := config.Apply(ctx, store.NewHTTP(s.kv), testDocument("v1"), 0)
 	assert.NilError(t, err)
 	assert.Equal(t, result, config.ApplyAccepted)
-	for i := range sh.engines {
+	for i := range opts.engines {
 		s.addMember(i, s.standin(standin.NewEngine(ctx, standin.EngineOptions{
 			Announcements: platform.Announcements{},
-			ChecksToken:   sh.checksToken, MaxBatch: 32, Slots: sh.slots, Step: sh.step, WeightStore: s.weights,
-		}), "engine", "--checks-token", "--slots", fmt.Sprint(sh.slots), "--step", sh.step.String(), "--weight-store", s.weights), fmt.Sprintf(`"kind": "engine", "base_model": "base-0", "slots": %d, "checks_token": %t`, sh.slots, sh.checksToken))
+			ChecksToken:   opts.checksToken, MaxBatch: 32, Slots: opts.slots, Step: opts.tokenTime, WeightStore: s.weightStoreURL,
+		}), "engine", "--checks-token", "--slots", fmt.Sprint(opts.slots), "--step", opts.tokenTime.String(), "--weight-store", s.weightStoreURL), fmt.Sprintf(`"kind": "engine", "base_model": "base-0", "slots": %d, "checks_token": %t`, opts.slots, opts.checksToken))
 	}
-	s.addMember(sh.engines, s.standin(standin.NewPlainService(sh.work, platform.Announcements{}), "service", "--work", sh.work.String()), `"kind": "service", "service": "receipts"`)
-	s.publish()
-	for i := range sh.entries {
+	s.addMember(opts.engines, s.standin(standin.NewPlainService(opts.serviceTime, platform.Announcements{}), "service", "--work", opts.serviceTime.String()), `"kind": "service", "service": "receipts"`)
+	s.publishBoxes()
+	for i := range opts.entries {
 		s.startEntry(i)
 	}
 	for i := range s.urls {
@@ -248,13 +248,13 @@
 	return s
 }
 
-// standin serves a stand-in from this process, or starts it as its own.
+// standin serves a stand-in from this process or starts it as a separate process, and returns its URL.
 func (s *system) standin(h http.Handler, kind string, args ...string) string {
-	if !s.shape.processes {
+	if !s.options.standinProcesses {
 		return s.serve(h)
 	}
 	p := startProcess(s.t, "standin", append([]string{"--listen", "127.0.0.1:0", "--kind", kind}, args...)...)
-	return "http://" + p.field(s.t, "standin started", "http")
+	return "http://" + p.logField(s.t, "standin started", "http")
 }
 
 func (s *system) serve(h http.Handler) string {
@@ -268,15 +268,15 @@
 	return server.URL
 }
 
-func (s *system) addMember(i int, backend, upstream string) {
+func (s *system) addMember(i int, upstreamURL, upstreamSettings string) {
 	m := &member{
-		backend: backend,
+		upstreamURL: upstreamURL,
 		box: sandbarrow.Box{
 			FailureDomain: sandbarrow.FailureDomain(string(rune('a' + i))), ID: sandbarrow.BoxID(fmt.Sprintf("agent-%d", i)),
 			Role: sandbarrow.RoleAgent, State: sandbarrow.BoxLive,
 		},
-		file:  filepath.Join(s.dir, fmt.Sprintf("agent-%d.json", i)),
-		relay: startRelay(s.t),
+		settingsFile: filepath.Join(s.dir, fmt.Sprintf("agent-%d.json", i)),
+		relay:        startRelay(s.t),
 	}
 	m.box.Address = m.relay.address()
 	settings := fmt.Sprintf(`{
@@ -290,16 +290,16 @@
 			"upstream": {"id": "upstream-%d", "url": %q, "max_running": %d, %s},
 			"weight_store": {"loads_per_second": 50, "parallel_loads": 8},
 		},
-	}`, m.box.ID, m.box.FailureDomain, s.kv, s.list, s.shape.leaseTTL, i, backend, s.shape.maxRunning, upstream)
-	assert.NilError(s.t, os.WriteFile(m.file, []byte(settings), 0o600))
+	}`, m.box.ID, m.box.FailureDomain, s.kv, s.boxListURL, s.options.leaseTTL, i, upstreamURL, s.options.maxRunning, upstreamSettings)
+	assert.NilError(s.t, os.WriteFile(m.settingsFile, []byte(settings), 0o600))
 	s.members = append(s.members, m)
 	s.startAgent(m)
 }
 
-// startAgent starts, or replaces, the agent of a member.
+// startAgent starts the agent of a member, or a replacement for it.
 func (s *system) startAgent(m *member) {
-	m.process = startProcess(s.t, "sandbarrow", "agent", "--settings", m.file)
-	m.relay.setTarget(m.process.field(s.t, "agent started", "rpc"))
+	m.process = startProcess(s.t, "sandbarrow", "agent", "--settings", m.settingsFile)
+	m.relay.setTarget(m.process.logField(s.t, "agent started", "rpc"))
 }
 
 func (s *system) startEntry(i int) {
@@ -309,10 +309,10 @@
 		"listen": {"http": "127.0.0.1:0"},
 		"platform": {"store": %q, "box_list": "%s/boxes"},
 		"entry": {"default_deadline": "8s", "stop_grace": "20s"},
-	}`, i, s.kv, s.list)
+	}`, i, s.kv, s.boxListURL)
 	assert.NilError(s.t, os.WriteFile(file, []byte(settings), 0o600))
 	p := startProcess(s.t, "sandbarrow", "entry", "--settings", file)
-	url := "http://" + p.field(s.t, "entry started", "http")
+	url := "http://" + p.logField(s.t, "entry started", "http")
 	if i < len(s.entries) {
 		s.entries[i], s.urls[i] = p, url
 		return
@@ -321,16 +321,16 @@
 	s.urls = append(s.urls, url)
 }
 
-// publish sets the platform's list of boxes.
-func (s *system) publish() {
+// publishBoxes sends the list of boxes to the platform.
+func (s *system) publishBoxes() {
 	boxes := make([]sandbarrow.Box, len(s.members))
 	for i, m := range s.members {
 		boxes[i] = m.box
 	}
-	s.send(http.MethodPut, s.list+"/boxes", boxes)
+	s.sendJSON(http.MethodPut, s.boxListURL+"/boxes", boxes)
 }
 
-func (s *system) send(method, url string, v any) {
+func (s *system) sendJSON(method, url string, v any) {
 	s.t.Helper()
 	body, err := json.Marshal(v)
 	assert.NilError(s.t, err)
@@ -345,18 +345,18 @@
 // faults sets the faults of a stand-in.
 func (s *system) faults(url string, f standin.Faults) {
 	s.t.Helper()
-	s.send(http.MethodPost, url+"/faults", f)
+	s.sendJSON(http.MethodPost, url+"/faults", f)
 }
 
-func (s *system) log(url string) standin.Log {
+func (s *system) upstreamLog(url string) standin.Log {
 	s.t.Helper()
 	var l standin.Log
-	s.read(url+"/log", &l)
+	s.readJSON(url+"/log", &l)
 	return l
 }
 
-// read reads a JSON answer of a stand-in.
-func (s *system) read(url string, v any) {
+// readJSON decodes a JSON response of a stand-in.
+func (s *system) readJSON(url string, v any) {
 	s.t.Helper()
 	resp, err := http.Get(url)
 	assert.NilError(s.t, err)
@@ -364,7 +364,7 @@
 	assert.NilError(s.t, json.NewDecoder(resp.Body).Decode(v))
 }
 
-// metric reads one unlabelled metric of a process; -1 if it is not there.
+// metric returns one unlabelled metric of a process, or -1 if it is missing.
 func metric(url, name string) float64 {
 	resp, err := http.Get(url + "/metrics")
 	if err != nil {
@@ -389,7 +389,7 @@
 	})
 }
 
-func (s *system) apply(version string, expected sandbarrow.Revision) {
+func (s *system) applyVersion(version string, expected sandbarrow.Revision) {
 	s.t.Helper()
 	result, _, err := config.Apply(context.Background(), store.NewHTTP(s.kv), testDocument(version), expected)
 	assert.NilError(s.t, err)
