--- a/cmd/sandbarrow/main.go
+++ b/cmd/sandbarrow/main.go
@@ -1,5 +1,5 @@
-// Command sandbarrow is the one shipped binary: entry, agent and the
-// operators' commands.
+// Command sandbarrow runs the processes entry, agent, gateway and controller, and the operators'
+// commands. It is the only binary that is shipped.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs one stand-in of an outside system, for tests and trials.
+// Command standin runs a stand-in for one external system, for tests and trials.
 package main
 
 import (
--- a/explain/line.go
+++ b/explain/line.go
@@ -1,6 +1,7 @@
-// Package explain tells the story of one request from the logs of any number of
-// processes: its own lines, and what its deciders learnt meanwhile. It owns nothing and relies on
-// the names of log lines and of their attributes; the command explain uses it.
+// Package explain builds the timeline of one request from the logs of any number of processes. The
+// timeline consists of the request's own lines and of state changes that the processes which
+// handled it logged at that time. The package owns no state and depends on the messages and
+// attribute names of log lines. The command explain uses it.
 package explain
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/juju/errors"
 )
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
 // The messages about requests.
@@ -22,14 +23,14 @@
 	messageRequest = "request"
 )
 
-// Line is one structured line of a process.
+// Line is one structured log line of a process.
 type Line struct {
 	Box     string    `json:"box"`
 	Level   string    `json:"level"`
 	Message string    `json:"msg"`
 	Time    time.Time `json:"time"`
 
-	// The attributes by which lines belong together; empty where a line has none.
+	// The attributes that relate lines to each other. They are empty if a line has none.
 	Adapter  string `json:"adapter,omitempty"`
 	Reason   string `json:"reason,omitempty"`
 	Request  string `json:"request,omitempty"`
@@ -37,12 +38,12 @@
 	Upstream string `json:"upstream,omitempty"`
 	Instance string `json:"instance,omitempty"`
 
-	// Text is the line as it was written.
+	// Text is the unparsed JSON object.
 	Text json.RawMessage `json:"-"`
 }
 
-// Read reads the lines of one log in their order. What stands before the object
-// of a line is passed over, and so are lines that hold none.
+// Read parses the lines of one log in order. It ignores any prefix before the JSON object of a
+// line, and skips lines without such an object.
 func Read(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
--- a/explain/story_test.go
+++ b/explain/timeline_test.go
@@ -36,32 +36,32 @@
 	return all
 }
 
-func TestTell(t *testing.T) {
-	story, err := Tell(logs(t), "r1", 0)
+func TestTimelineHasOnlyLinesThatConcernTheRequest(t *testing.T) {
+	timeline, err := BuildTimeline(logs(t), "r1", 0)
 	assert.NilError(t, err)
-	assert.Equal(t, story.Cause, causes["no-slot"])
-	var told []string
-	for _, e := range story.Events {
-		told = append(told, e.Line.Message+" "+e.Line.Adapter+e.Line.Instance)
+	assert.Equal(t, timeline.Cause, causes["no-slot"])
+	var events []string
+	for _, e := range timeline.Events {
+		events = append(events, e.Line.Message+" "+e.Line.Adapter+e.Line.Instance)
 	}
-	assert.DeepEqual(t, told, []string{"controller lost ", "order a7", "attempt ", "engine identified i-1", "request a7"})
-	assert.Equal(t, story.Events[1].At, 100*time.Millisecond)
+	assert.DeepEqual(t, events, []string{"controller lost ", "order a7", "attempt ", "engine identified i-1", "request a7"})
+	assert.Equal(t, timeline.Events[1].Offset, 100*time.Millisecond)
 	var page strings.Builder
-	assert.NilError(t, story.WriteText(&page))
+	assert.NilError(t, timeline.WriteText(&page))
 	assert.Assert(t, strings.Contains(page.String(), "*    +0.500 s  gw"), page.String())
 }
 
-func TestTellOfUnknownRequest(t *testing.T) {
-	_, err := Tell(logs(t), "r2", 0)
-	assert.Assert(t, errors.Is(err, ErrUnknown))
+func TestUnknownRequestIsAnError(t *testing.T) {
+	_, err := BuildTimeline(logs(t), "r2", 0)
+	assert.Assert(t, errors.Is(err, ErrRequestNotFound))
 }
 
-func TestTellWithoutAnEnd(t *testing.T) {
+func TestTimelineWithoutFinalLine(t *testing.T) {
 	all := logs(t)
 	all[0] = all[0][:2]
-	story, err := Tell(all, "r1", 0)
+	timeline, err := BuildTimeline(all, "r1", 0)
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(story.Cause, "not written"))
+	assert.Assert(t, strings.Contains(timeline.Cause, "not written"))
 }
 
 func FuzzRead(f *testing.F) {
@@ -69,7 +69,7 @@
 	f.Fuzz(func(_ *testing.T, text string) {
 		lines, err := Read(strings.NewReader(text))
 		if err == nil {
-			_, _ = Tell([][]Line{lines}, "r1", time.Second)
+			_, _ = BuildTimeline([][]Line{lines}, "r1", time.Second)
 		}
 	})
 }
--- a/httpserve/httpserve.go
+++ b/httpserve/httpserve.go
@@ -1,4 +1,4 @@
-// Package httpserve serves the operational paths of a process.
+// Package httpserve serves the health, readiness and metrics paths of a process.
 package httpserve
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-// MetricsHandler serves a registry's metrics.
+// MetricsHandler returns a handler that serves the metrics of a registry.
 func MetricsHandler(registry *prometheus.Registry) fasthttp.RequestHandler {
 	return fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 }
--- a/internal/cmd/agentcmd.go
+++ b/internal/cmd/agentcmd.go
@@ -25,7 +25,7 @@
 
 // Execute runs the command.
 func (c *agentCmd) Execute([]string) error {
-	tuneMemory()
+	setGCPercent()
 	s, err := settings.Load(c.Settings)
 	if err != nil {
 		return err
@@ -50,16 +50,15 @@
 	return serveAgent(c.ctx, a, listener, registry)
 }
 
-// serveAgent runs an agent with its operational paths, which answer until the
-// agent has stopped.
+// serveAgent runs an agent. It serves the agent's operational paths until the agent has stopped.
 func serveAgent(ctx context.Context, a *agent.Agent, listener net.Listener, registry *prometheus.Registry) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var g errgroup.Group
 	g.Go(func() error {
 		defer stop()
 		return a.Run(ctx)
 	})
-	g.Go(func() error { return httpserve.Health(work, listener, registry, a.Ready) })
+	g.Go(func() error { return httpserve.Health(serving, listener, registry, a.Ready) })
 	return g.Wait()
 }
--- a/internal/cmd/configapplycmd.go
+++ b/internal/cmd/configapplycmd.go
@@ -10,7 +10,7 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// configApplyCmd makes a file the configuration.
+// configApplyCmd applies a configuration file.
 type configApplyCmd struct {
 	ctx context.Context
 	out *output
@@ -23,6 +23,7 @@
 	Timeout time.Duration `long:"timeout" default:"30s" description:"when to give up"`
 }
 
+// applyExitCodes holds the exit code of each result.
 var applyExitCodes = map[config.ApplyResult]int{
 	config.ApplyAccepted:   exitOK,
 	config.ApplyConflict:   exitConflict,
@@ -33,13 +34,13 @@
 
 // Execute runs the command.
 func (c *configApplyCmd) Execute([]string) error {
-	d, err := config.ReadFile(c.Args.File)
+	document, err := config.ReadFile(c.Args.File)
 	if err != nil {
 		return &exitError{code: exitRefused, err: err}
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.Timeout)
 	defer cancel()
-	result, head, err := config.Apply(ctx, store.NewHTTP(c.Store), d, sandbarrow.Revision(c.Expect))
+	result, head, err := config.Apply(ctx, store.NewHTTP(c.Store), document, sandbarrow.Revision(c.Expect))
 	fmt.Fprintf(c.out.stdout, "%s: revision %d digest %.12s\n", result, head.Revision, head.Digest)
 	if code := applyExitCodes[result]; code != exitOK {
 		if err == nil {
--- a/internal/cmd/configcheckcmd.go
+++ b/internal/cmd/configcheckcmd.go
@@ -17,10 +17,10 @@
 
 // Execute runs the command.
 func (c *configCheckCmd) Execute([]string) error {
-	d, err := config.ReadFile(c.Args.File)
+	document, err := config.ReadFile(c.Args.File)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.out.stdout, "%s: ok, %d adapters, %d policies, %d callers\n", c.Args.File, len(d.Adapters), len(d.Policies), len(d.Callers))
+	fmt.Fprintf(c.out.stdout, "%s: ok, %d adapters, %d policies, %d callers\n", c.Args.File, len(document.Adapters), len(document.Policies), len(document.Callers))
 	return nil
 }
--- a/internal/cmd/configshowcmd.go
+++ b/internal/cmd/configshowcmd.go
@@ -11,7 +11,7 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// showTimeout bounds commands that only read.
+// showTimeout is the timeout of commands that only read from the store.
 const showTimeout = 10 * time.Second
 
 // configShowCmd prints the configuration in force.
--- a/internal/cmd/controllercmd.go
+++ b/internal/cmd/controllercmd.go
@@ -23,7 +23,7 @@
 
 // Execute runs the command.
 func (c *controllerCmd) Execute([]string) error {
-	tuneMemory()
+	setGCPercent()
 	d, err := newDaemon(c.Settings, c.out.stdout)
 	if err != nil {
 		return err
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -22,28 +22,28 @@
 )
 
 const (
-	// storeDialTimeout bounds a new connection to the platform's store.
+	// storeDialTimeout is the timeout for opening a connection to the platform's store.
 	storeDialTimeout = 500 * time.Millisecond
-	// storeIdle is how long an idle connection to the store is kept.
-	storeIdle = 20 * time.Second
+	// storeIdleTimeout is the time after which an idle connection to the store is closed.
+	storeIdleTimeout = 20 * time.Second
 )
 
-// daemon is what the commands gateway and controller share.
+// daemon holds the settings, log and metrics of a gateway or controller process.
 type daemon struct {
 	file     string
 	logger   *slog.Logger
-	log      *logging.Bounded
+	log      *logging.AsyncWriter
 	registry *prometheus.Registry
 	settings *settings.Settings
 }
 
-// newDaemon reads the settings and opens the log.
+// newDaemon reads the settings and creates the logger and the metrics registry.
 func newDaemon(file string, w io.Writer) (*daemon, error) {
 	s, err := settings.Load(file)
 	if err != nil {
 		return nil, err
 	}
-	d := &daemon{file: file, log: logging.NewBounded(w), registry: prometheus.NewRegistry(), settings: s}
+	d := &daemon{file: file, log: logging.NewAsyncWriter(w), registry: prometheus.NewRegistry(), settings: s}
 	if d.logger, err = logging.New(d.log, s); err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return d, nil
 }
 
-// run runs work beside the log, the metrics and the reload of settings until
-// work returns.
+// run calls work. Until work returns, run also writes the log, serves the metrics and checks the
+// settings file on SIGHUP.
 func (d *daemon) run(ctx context.Context, role string, work func(context.Context) error) error {
 	logCtx, stopLog := context.WithCancel(context.Background())
 	logged := make(chan error, 1)
@@ -67,34 +67,34 @@
 	if err != nil {
 		return errors.Annotatef(err, "listen.metrics %s", d.settings.Listen.Metrics)
 	}
-	side, stopSide := context.WithCancel(context.Background())
+	background, stopBackground := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error {
-		return serveHTTP(side, metrics, promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{}))
+		return serveHTTP(background, metrics, promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{}))
 	})
 	group.Go(func() error {
-		d.reloadLoop(side)
+		d.reloadLoop(background)
 		return nil
 	})
 	d.logger.Info("started", "role", role, "settings", d.file)
 	err = work(ctx)
-	stopSide()
-	if sideErr := group.Wait(); err == nil {
-		err = sideErr
+	stopBackground()
+	if backgroundErr := group.Wait(); err == nil {
+		err = backgroundErr
 	}
 	d.logger.Info("stopped", "role", role)
 	return err
 }
 
-// reloadLoop reads the settings again at each SIGHUP. A file that can't be
-// read keeps those in force; addresses are taken at the next start only.
+// reloadLoop reads and validates the settings file on each SIGHUP and logs the result. The process
+// keeps the settings it started with; new ones take effect at the next start.
 func (d *daemon) reloadLoop(ctx context.Context) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	defer signal.Stop(signals)
 	for {
 		select {
-		case <-hangups:
+		case <-signals:
 			if _, err := settings.Load(d.file); err != nil {
 				d.logger.Error("settings refused, the last ones stay", "settings", d.file, "error", err.Error())
 				continue
@@ -117,10 +117,10 @@
 	return nil
 }
 
-// platformClient returns the HTTP client for calls to the platform.
+// platformClient returns an HTTP client for calls to the platform.
 func platformClient() *http.Client {
 	dialer := net.Dialer{Timeout: storeDialTimeout, KeepAlive: -1}
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: storeIdle, MaxIdleConnsPerHost: 8,
+		DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: storeIdleTimeout, MaxIdleConnsPerHost: 8,
 	}}
 }
--- a/internal/cmd/democmd.go
+++ b/internal/cmd/democmd.go
@@ -11,10 +11,10 @@
 	"sandbarrow.example/sandbarrow/internal/demo"
 )
 
-// demoTimeout bounds the demo.
+// demoTimeout is the timeout of the whole demo.
 const demoTimeout = 14 * time.Second
 
-// demoCmd runs everything in one process.
+// demoCmd runs all components in one process, with stand-ins for external systems.
 type demoCmd struct {
 	ctx context.Context
 	out *output
@@ -32,17 +32,17 @@
 		return err
 	}
 	defer d.Stop()
-	answers := d.Drive(ctx)
-	wrong := 0
-	for _, a := range answers {
-		if a.Fault != "" {
-			wrong++
+	responses := d.Drive(ctx)
+	failed := 0
+	for _, r := range responses {
+		if r.Fault != "" {
+			failed++
 		}
-		if !c.Quiet || a.Fault != "" {
-			fmt.Fprintf(c.out.stdout, "%-8s %-9s %-24s %5d ms  %s\n", a.Class, a.Kind, a.Model, a.Took.Milliseconds(), a.Fault)
+		if !c.Quiet || r.Fault != "" {
+			fmt.Fprintf(c.out.stdout, "%-8s %-9s %-24s %5d ms  %s\n", r.Class, r.Kind, r.Model, r.Took.Milliseconds(), r.Fault)
 		}
 	}
-	c.summary(answers, d.Totals())
+	c.printSummary(responses, d.Totals())
 	report, err := d.Report(ctx)
 	if err != nil {
 		return err
@@ -56,23 +56,24 @@
 			return err
 		}
 	}
-	if wrong > 0 || len(answers) == 0 {
-		return errors.Errorf("%d of %d answers were not whole and right", wrong, len(answers))
+	if failed > 0 || len(responses) == 0 {
+		return errors.Errorf("%d of %d responses were incomplete or incorrect", failed, len(responses))
 	}
-	fmt.Fprintf(c.out.stdout, "\nall %d answers whole and right\n", len(answers))
+	fmt.Fprintf(c.out.stdout, "\nall %d responses complete and correct\n", len(responses))
 	return nil
 }
 
-func (c *demoCmd) summary(answers []demo.Answer, t demo.Totals) {
-	waits := make([]time.Duration, len(answers))
-	for i, a := range answers {
-		waits[i] = a.Took
+// printSummary prints response times, loads, batch efficiency and calls to the store.
+func (c *demoCmd) printSummary(responses []demo.Answer, t demo.Totals) {
+	times := make([]time.Duration, len(responses))
+	for i, r := range responses {
+		times[i] = r.Took
 	}
-	sort.Slice(waits, func(i, j int) bool { return waits[i] < waits[j] })
-	fmt.Fprintf(c.out.stdout, "\nanswers %d, adapter loads %d, unloads %d\n", len(answers), t.Loads, t.Unloads)
-	if len(waits) > 0 {
-		fmt.Fprintf(c.out.stdout, "time of an answer: median %d ms, 99th percentile %d ms\n",
-			waits[len(waits)/2].Milliseconds(), waits[len(waits)*99/100].Milliseconds())
+	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
+	fmt.Fprintf(c.out.stdout, "\nresponses %d, adapter loads %d, unloads %d\n", len(responses), t.Loads, t.Unloads)
+	if len(times) > 0 {
+		fmt.Fprintf(c.out.stdout, "response time: median %d ms, 99th percentile %d ms\n",
+			times[len(times)/2].Milliseconds(), times[len(times)*99/100].Milliseconds())
 	}
 	fmt.Fprintf(c.out.stdout, "batch efficiency: %.2f requests a step\n", t.PerStep)
 	fmt.Fprintf(c.out.stdout, "platform store: %d reads, %d writes\n", t.StoreReads, t.StoreWrites)
--- a/internal/cmd/entrycmd.go
+++ b/internal/cmd/entrycmd.go
@@ -21,7 +21,7 @@
 
 // Execute runs the command.
 func (c *entryCmd) Execute([]string) error {
-	tuneMemory()
+	setGCPercent()
 	s, err := settings.Load(c.Settings)
 	if err != nil {
 		return err
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -11,7 +11,7 @@
 	"sandbarrow.example/sandbarrow/explain"
 )
 
-// explainCmd tells the story of one request from logs.
+// explainCmd prints the timeline of one request, built from logs.
 type explainCmd struct {
 	out *output
 
@@ -29,16 +29,16 @@
 	if err != nil {
 		return err
 	}
-	story, err := explain.Tell(logs, c.Args.Request, c.Skew)
+	timeline, err := explain.BuildTimeline(logs, c.Args.Request, c.Skew)
 	if err != nil {
 		return err
 	}
 	if c.Format == "json" {
 		e := json.NewEncoder(c.out.stdout)
 		e.SetIndent("", "  ")
-		return e.Encode(story)
+		return e.Encode(timeline)
 	}
-	return story.WriteText(c.out.stdout)
+	return timeline.WriteText(c.out.stdout)
 }
 
 func readLogs(files []string) ([][]explain.Line, error) {
--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -24,7 +24,7 @@
 
 // Execute runs the command.
 func (c *gatewayCmd) Execute([]string) error {
-	tuneMemory()
+	setGCPercent()
 	d, err := newDaemon(c.Settings, c.out.stdout)
 	if err != nil {
 		return err
@@ -58,22 +58,22 @@
 	})
 }
 
-// serveGateway runs a gateway with its readiness check and its peers' port,
-// which answer until the gateway has stopped.
+// serveGateway runs a gateway. It serves the readiness check and the peer port until the gateway has
+// stopped.
 func serveGateway(ctx context.Context, g *gateway.Gateway, callers, ready, peers net.Listener) error {
-	checks, stop := context.WithCancel(context.Background())
+	serving, stop := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error {
 		defer stop()
 		return g.Run(ctx, callers)
 	})
 	group.Go(func() error {
-		return serveHTTP(checks, ready, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		return serveHTTP(serving, ready, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if !g.Ready() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		}))
 	})
-	group.Go(func() error { return g.ServePeers(checks, peers) })
+	group.Go(func() error { return g.ServePeers(serving, peers) })
 	return group.Wait()
 }
--- a/internal/cmd/memory.go
+++ b/internal/cmd/memory.go
@@ -2,11 +2,11 @@
 
 import "runtime/debug"
 
-// gcPercent lets the heap of a daemon grow further between collections than
-// the default of 100. Its live heap is a few megabytes, so that the default
-// collects dozens of times a second under load.
+// gcPercent is the GOGC value of a daemon. The live heap of a daemon is a few megabytes. With the
+// default of 100 the garbage collector would run dozens of times per second under load.
 const gcPercent = 250
 
-func tuneMemory() {
+// setGCPercent sets the GOGC value of this process.
+func setGCPercent() {
 	debug.SetGCPercent(gcPercent)
 }
--- a/internal/cmd/reportcmd.go
+++ b/internal/cmd/reportcmd.go
@@ -11,7 +11,7 @@
 	"sandbarrow.example/sandbarrow/burn"
 )
 
-// reportCmd reports service-level burn.
+// reportCmd reports how fast the error budgets burn.
 type reportCmd struct {
 	ctx context.Context
 	out *output
--- a/internal/cmd/rootcmd.go
+++ b/internal/cmd/rootcmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds the commands of the sandbarrow binary, a file each.
+// Package cmd implements the commands of the sandbarrow binary, one file per command.
 package cmd
 
 import (
@@ -29,10 +29,10 @@
 	err  error
 }
 
-// Error returns the text of the error below.
+// Error returns the text of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// output is where commands write.
+// output holds the streams that commands write to.
 type output struct {
 	stderr io.Writer
 	stdout io.Writer
@@ -75,7 +75,7 @@
 	}, name, short string, data any) *flags.Command {
 		command, err := c.AddCommand(name, short, short+".", data)
 		if err != nil {
-			panic(err) // a command's struct is wrong; tests would not pass
+			panic(err) // the struct tags of a command are not valid; every test would fail
 		}
 		return command
 	}
@@ -91,7 +91,7 @@
 	add(p, "explain", "tell the story of a request from logs", &explainCmd{out: out})
 	add(p, "gateway", "run the process between callers and upstreams", &gatewayCmd{ctx: ctx, out: out})
 	add(p, "report", "report how fast the error budgets burn", &reportCmd{ctx: ctx, out: out})
-	set := add(p, "settings", "check the settings of a process", &struct{}{})
-	add(set, "check", "check a settings file", &settingsCheckCmd{out: out})
+	settings := add(p, "settings", "check the settings of a process", &struct{}{})
+	add(settings, "check", "check a settings file", &settingsCheckCmd{out: out})
 	return p
 }
--- a/internal/cmd/script_test.go
+++ b/internal/cmd/script_test.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// TestScripts runs the commands as programs; each script has a store of its own.
+// TestScripts runs the commands as programs. Each script has its own store.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
--- a/jsonc/jsonc.go
+++ b/jsonc/jsonc.go
@@ -1,5 +1,5 @@
-// Package jsonc decodes JSON with comments strictly: every fault is reported
-// with file, line and key, and unknown keys are faults.
+// Package jsonc is a strict decoder of JSON with comments. It reports every fault with file, line
+// and key. Unknown and duplicate keys are faults.
 package jsonc
 
 import (
@@ -16,40 +16,40 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is a decoded text that remembers the line of each key.
+// Document holds the line number of each key of a decoded text.
 type Document struct {
 	file  string
 	lines map[string]int
 }
 
-// Duration is a time.Duration written as text, such as "1.5s".
+// Duration is a time.Duration that is encoded as text, such as "1.5s".
 type Duration time.Duration
 
-// MarshalText writes the duration as text.
+// MarshalText encodes the duration as text.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration from text.
+// UnmarshalText parses a duration.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
 		return errors.NotValidf("duration %q (want text such as \"1.5s\")", text)
 	}
-	*d = Duration(v)
+	*d = Duration(parsed)
 	return nil
 }
 
-// Problems is the list of all faults of one document.
+// Problems lists all faults of one document.
 type Problems []string
 
-// Error returns the faults, a line each.
+// Error returns the faults, one per line.
 func (p Problems) Error() string {
 	return strings.Join(p, "\n")
 }
 
-// Decode reads text into target, a pointer to a struct. All faults are
-// returned together as Problems.
+// Decode decodes text into target, a pointer to a struct. If the text has faults, the error is a
+// Problems with all of them.
 func Decode(file string, text []byte, target any) (*Document, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return w.doc, nil
 }
 
-// Problem returns one fault at key, such as "listen.http".
+// Problem formats one fault at key, such as "listen.http". It reports the line of the nearest parent
+// if the key is missing.
 func (d *Document) Problem(key, format string, args ...any) string {
 	line := d.lines[key]
 	for parent := key; line == 0 && parent != ""; {
@@ -77,6 +78,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", d.file, max(1, line), key, fmt.Sprintf(format, args...))
 }
 
+// walker checks a syntax tree against the type that it is decoded into.
 type walker struct {
 	doc      *Document
 	problems Problems
@@ -91,7 +93,7 @@
 		t = t.Elem()
 	}
 	if reflect.PointerTo(t).Implements(textUnmarshaler) {
-		w.leaf(v, t, key)
+		w.scalar(v, t, key)
 		return
 	}
 	switch kind := v.Value.(type) {
@@ -106,7 +108,7 @@
 			w.value(&kind.Elements[i], t.Elem(), key+"["+strconv.Itoa(i)+"]")
 		}
 	default:
-		w.leaf(v, t, key)
+		w.scalar(v, t, key)
 	}
 }
 
@@ -130,17 +132,17 @@
 			w.value(&m.Value, t.Elem(), child)
 			continue
 		}
-		f, ok := fieldByTag(t, name)
+		field, ok := fieldByTag(t, name)
 		if !ok {
 			w.doc.lines[child] = 1 + bytes.Count(w.text[:m.Name.StartOffset], []byte("\n"))
 			w.problem(child, "unknown key")
 			continue
 		}
-		w.value(&m.Value, f.Type, child)
+		w.value(&m.Value, field.Type, child)
 	}
 }
 
-func (w *walker) leaf(v *hujson.Value, t reflect.Type, key string) {
+func (w *walker) scalar(v *hujson.Value, t reflect.Type, key string) {
 	packed := v.Clone()
 	packed.Standardize()
 	if err := json.Unmarshal(packed.Pack(), reflect.New(t).Interface()); err != nil {
@@ -162,6 +164,7 @@
 	return reflect.StructField{}, false
 }
 
+// describe names a type in the terms of a settings file.
 func describe(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the structured logger of a process.
+// Package logging creates the structured logger of a process.
 package logging
 
 import (
@@ -10,7 +10,7 @@
 	"sandbarrow.example/sandbarrow/settings"
 )
 
-// New returns a logger that marks each line with the box and its failure domain.
+// New returns a logger that adds the box and its failure domain to each line.
 func New(w io.Writer, s *settings.Settings) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(s.Log.Level)); err != nil {
--- a/logging/printer.go
+++ b/logging/printer.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Printer passes the log lines of a library to a structured logger, at debug
-// level: what matters of them, the calling layer logs itself.
+// Printer writes the log lines of a library to a structured logger. It uses debug level because
+// the callers of the library log the important events themselves.
 type Printer struct {
 	logger *slog.Logger
 	source string
 }
 
-// NewPrinter returns a printer that names the library in each line.
+// NewPrinter returns a Printer that adds the name of the library to each line.
 func NewPrinter(l *slog.Logger, source string) Printer {
 	return Printer{logger: l, source: source}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings reads and checks the settings of one process, JSON with
-// comments.
+// Package settings reads and validates the settings of one process, a file of JSON with comments.
 package settings
 
 import (
@@ -16,84 +15,88 @@
 	"sandbarrow.example/sandbarrow/jsonc"
 )
 
-// UpstreamKind says what stands behind an agent.
+// UpstreamKind is the kind of an agent's upstream.
 type UpstreamKind string
 
-// The kinds of an upstream.
+// The kinds of upstreams.
 const (
 	KindEngine  UpstreamKind = "engine"
 	KindService UpstreamKind = "service"
 )
 
-// EnvironmentVariable names the settings file where no flag does.
+// EnvironmentVariable is the environment variable that names the settings file if no flag does.
 const EnvironmentVariable = "SANDBARROW_SETTINGS"
 
 const maxPort = 65535
 
-// Agent is the part of an agent alone.
+// Agent holds the settings that only an agent has.
 type Agent struct {
-	// LeaseTTL is the life of the lease on the upstream.
+	// LeaseTTL is the time after which the lease on the upstream expires unless it is renewed.
 	LeaseTTL jsonc.Duration `json:"lease_ttl"`
-	// StopGrace bounds a planned stop; what still runs then is cut.
+	// StopGrace is the longest duration of a planned stop. Requests that still run then are
+	// aborted.
 	StopGrace   jsonc.Duration `json:"stop_grace"`
 	Upstream    Upstream       `json:"upstream"`
 	WeightStore WeightStore    `json:"weight_store"`
 }
 
-// Box says where the process runs.
+// Box identifies the box that the process runs on.
 type Box struct {
 	FailureDomain sandbarrow.FailureDomain `json:"failure_domain"`
 	ID            sandbarrow.BoxID         `json:"id"`
 }
 
-// Controller is the part of a controller alone.
+// Controller holds the settings that only a controller has.
 type Controller struct {
 	// Engine is the engine's address, on the same box.
 	Engine string `json:"engine"`
-	// LimitOverage is the share by which workspaces may exceed their limits.
+	// LimitOverage is the fraction by which workspaces may exceed their limits.
 	LimitOverage float64 `json:"limit_overage"`
-	// LimitSlack is by how many units they may exceed them beside that, in each window.
+	// LimitSlack is the number of units by which they may additionally exceed them in each
+	// window.
 	LimitSlack float64 `json:"limit_slack"`
-	// LimitWindow is the span over which what a workspace uses is summed up.
+	// LimitWindow is the window over which the usage of a workspace is summed.
 	LimitWindow jsonc.Duration `json:"limit_window"`
 	// Service is the service that the engine belongs to.
 	Service sandbarrow.ServiceID `json:"service"`
 }
 
-// Gateway is the part of a gateway alone.
+// Gateway holds the settings that only a gateway has.
 type Gateway struct {
 	// ControllerPort is the port of the controllers on the engines' boxes.
 	ControllerPort int `json:"controller_port"`
-	// LeaveBound is how soon a leaving upstream must get nothing new.
+	// DrainBound is the time after which a draining upstream must get no new requests.
 	LeaveBound jsonc.Duration `json:"leave_bound"`
-	// Peers are peer addresses of other gateways, which are asked when the store
-	// can't be read at the start; some may be stale or down.
+	// Peers are the peer addresses of other gateways. A gateway queries them if it can't read
+	// the store at its start. Some may be stale or down.
 	Peers []string `json:"peers"`
-	// RetryShare is the share of a service's requests that all gateways together
-	// may send again.
+	// RetryShare is the fraction of a service's requests that all gateways together may retry.
 	RetryShare float64 `json:"retry_share"`
-	// RetrySlack is how many repeats they may send beyond that share.
+	// RetrySlack is the number of retries that they may send beyond that fraction.
 	RetrySlack float64 `json:"retry_slack"`
-	// RevokeBound is how soon after its withdrawal a key must not be served any more, also
-	// where the store can't be reached; 0 serves callers by the last configuration known.
+	// RevokeBound is the time after which a revoked key must be refused, even if the store
+	// is unreachable. If it is 0, a gateway that can't reach the store keeps serving callers by
+	// the last known configuration.
 	RevokeBound jsonc.Duration `json:"revoke_bound"`
-	// StopGrace bounds a planned stop; what still runs then is cut.
+	// StopGrace is the longest duration of a planned stop. Requests that still run then are
+	// aborted.
 	StopGrace jsonc.Duration `json:"stop_grace"`
 }
 
-// Entry is the part of an entry alone.
+// Entry holds the settings that only an entry has.
 type Entry struct {
-	// DefaultDeadline bounds requests that state none.
+	// DefaultDeadline is the deadline of requests that specify none.
 	DefaultDeadline jsonc.Duration `json:"default_deadline"`
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes is the maximum size of a request's body.
 	MaxBodyBytes int `json:"max_body_bytes"`
-	// RetryShare is the share of requests that may be retries.
+	// RetryShare is the fraction of requests that may be retries.
 	RetryShare float64 `json:"retry_share"`
-	// StopGrace bounds a planned stop; what still runs then is cut.
+	// StopGrace is the longest duration of a planned stop. Requests that still run then are
+	// aborted.
 	StopGrace jsonc.Duration `json:"stop_grace"`
 }
 
-// Listen holds the process's own addresses.
+// Listen holds the addresses that the process listens on.
 type Listen struct {
 	// HTTP serves callers (entry, gateway) and metrics (entry, agent).
 	HTTP string `json:"http"`
@@ -101,13 +104,13 @@
 	Metrics string `json:"metrics"`
 	// Peer serves other gateways.
 	Peer string `json:"peer"`
-	// Ready serves the balancer's readiness check of a gateway.
+	// Ready serves the load balancer's readiness check of a gateway.
 	Ready string `json:"ready"`
 	// RPC serves entries (agent) or gateways (controller).
 	RPC string `json:"rpc"`
 }
 
-// Log says how logs are written.
+// Log holds the format and level of the log.
 type Log struct {
 	// Format is "json" or "text".
 	Format string `json:"format"`
@@ -115,7 +118,7 @@
 	Level string `json:"level"`
 }
 
-// Platform holds the platform's addresses.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	// BoxList is the URL of the list of boxes.
 	BoxList string `json:"box_list"`
@@ -123,7 +126,7 @@
 	Store string `json:"store"`
 }
 
-// Settings are all settings of one process.
+// Settings holds all settings of one process.
 type Settings struct {
 	Agent      *Agent      `json:"agent"`
 	Box        Box         `json:"box"`
@@ -135,31 +138,32 @@
 	Platform   Platform    `json:"platform"`
 }
 
-// Upstream describes the back end of an agent.
+// Upstream describes the upstream of an agent.
 type Upstream struct {
 	BaseModel sandbarrow.BaseModelID `json:"base_model"`
-	// ChecksToken says that the engine refuses orders with an older fencing token.
+	// ChecksToken reports that the engine refuses orders with an older fencing token.
 	ChecksToken bool                  `json:"checks_token"`
 	ID          sandbarrow.UpstreamID `json:"id"`
 	Kind        UpstreamKind          `json:"kind"`
-	// MaxRunning is the number of requests that run at once.
+	// MaxRunning is the maximum number of requests that run concurrently.
 	MaxRunning int                  `json:"max_running"`
 	Service    sandbarrow.ServiceID `json:"service"`
-	// Slots is the number of adapters that the engine holds.
+	// Slots is the number of adapters that the engine can have loaded.
 	Slots int    `json:"slots"`
 	URL   string `json:"url"`
 }
 
-// WeightStore tells what the whole weight store bears; agents that share it
-// back off on its own push-back.
+// WeightStore holds the capacity of the entire weight store. Several agents share it, so each
+// also backs off when the weight store rejects its loads.
 type WeightStore struct {
-	// LoadsPerSecond is the rate of the whole weight store.
+	// LoadsPerSecond is the load rate that the entire weight store supports.
 	LoadsPerSecond float64 `json:"loads_per_second"`
-	// ParallelLoads is the number at full speed of the whole weight store.
+	// ParallelLoads is the number of concurrent loads that the entire weight store serves at
+	// full speed.
 	ParallelLoads int `json:"parallel_loads"`
 }
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -168,7 +172,7 @@
 	return Parse(file, text)
 }
 
-// Parse reads and checks a text; file names it in errors.
+// Parse parses and validates the text of a settings file. Errors contain the given file name.
 func Parse(file string, text []byte) (*Settings, error) {
 	s := &Settings{Log: Log{Format: "json", Level: "info"}}
 	doc, err := jsonc.Decode(file, text, s)
@@ -209,10 +213,10 @@
 	}
 }
 
-func setDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](value *T, def T) {
 	var zero T
-	if *v == zero {
-		*v = d
+	if *value == zero {
+		*value = def
 	}
 }
 
@@ -229,8 +233,8 @@
 
 func (c *checker) address(key, value string) {
 	host, _, err := net.SplitHostPort(value)
-	c.require(err == nil, key, "%q: want an IP number and a port, such as \"127.0.0.1:8080\"", value)
-	c.require(err != nil || net.ParseIP(host) != nil, key, "%q: host must be an IP number", value)
+	c.require(err == nil, key, "%q: want an IP address and a port, such as \"127.0.0.1:8080\"", value)
+	c.require(err != nil || net.ParseIP(host) != nil, key, "%q: host must be an IP address", value)
 }
 
 func (c *checker) url(key, value string) {
@@ -248,7 +252,7 @@
 	c.require(s.Log.Format == "json" || s.Log.Format == "text", "log.format", "%q: want \"json\" or \"text\"", s.Log.Format)
 	var level slog.Level
 	c.require(level.UnmarshalText([]byte(s.Log.Level)) == nil, "log.level", "%q: want debug, info, warn or error", s.Log.Level)
-	c.require(s.parts() == 1, "", "exactly one of the parts agent, controller, entry and gateway must stand")
+	c.require(s.countRoles() == 1, "", "exactly one of the parts agent, controller, entry and gateway is required")
 	if s.Entry != nil {
 		c.entry(s)
 	}
@@ -263,11 +267,11 @@
 	}
 }
 
-// parts counts the parts of single roles.
-func (s *Settings) parts() int {
+// countRoles returns the number of roles that have settings.
+func (s *Settings) countRoles() int {
 	n := 0
-	for _, stands := range []bool{s.Agent != nil, s.Controller != nil, s.Entry != nil, s.Gateway != nil} {
-		if stands {
+	for _, present := range []bool{s.Agent != nil, s.Controller != nil, s.Entry != nil, s.Gateway != nil} {
+		if present {
 			n++
 		}
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -16,7 +16,7 @@
 	"entry": {},
 }`
 
-func TestExamples(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	for _, role := range []string{"entry", "agent"} {
 		files, err := filepath.Glob("../examples/*-" + role + ".json")
 		assert.NilError(t, err)
@@ -29,8 +29,8 @@
 	}
 }
 
-func TestProblems(t *testing.T) {
-	for name, tc := range map[string]struct{ old, replaced, want string }{
+func TestParseNamesLineAndKeyOfEachFault(t *testing.T) {
+	for name, tc := range map[string]struct{ old, replacement, want string }{
 		"bad duration":    {`"entry": {}`, `"entry": {"stop_grace": 3}`, "f:5: entry.stop_grace"},
 		"host name":       {"127.0.0.1:0", "localhost:0", "f:3: listen.http"},
 		"key twice":       {`"entry": {}`, `"entry": {}, "entry": {}`, "f:5: entry: key stands twice"},
@@ -45,7 +45,7 @@
 		"wrong store URL": {"http://127.0.0.1:1", "127.0.0.1:1", "f:4: platform.store"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("f", []byte(strings.Replace(entryText, tc.old, tc.replaced, 1)))
+			_, err := Parse("f", []byte(strings.Replace(entryText, tc.old, tc.replacement, 1)))
 			assert.ErrorContains(t, err, tc.want)
 		})
 	}
@@ -64,9 +64,9 @@
 	})
 }
 
-// The examples of the gateway path are valid, and each fault in them is named.
-func TestDirectPath(t *testing.T) {
-	for name, tc := range map[string]struct{ file, old, replaced, want string }{
+// The examples of a gateway and a controller are valid, and an error names each fault in them.
+func TestGatewayAndControllerSettings(t *testing.T) {
+	for name, tc := range map[string]struct{ file, old, replacement, want string }{
 		"gateway":            {"gateway", "", "", ""},
 		"controller":         {"controller", "", "", ""},
 		"no port":            {"gateway", `"controller_port": 7380`, `"controller_port": 0`, "gateway.controller_port: 0 is no port"},
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			text, err := os.ReadFile("../examples/address-" + tc.file + ".json")
 			assert.NilError(t, err)
-			changed := strings.Replace(string(text), tc.old, tc.replaced, 1)
+			changed := strings.Replace(string(text), tc.old, tc.replacement, 1)
 			_, err = Parse("f", []byte(changed))
 			if tc.want == "" {
 				assert.NilError(t, err)
