--- a/controller/loadwindow.go
+++ b/controller/loadwindow.go
@@ -46,7 +46,7 @@
 // took records a load from the weight store and its duration.
 func (w *loadWindow) took(d time.Duration) {
 	w.observed.Count++
-	w.observed.TookMS = d.Milliseconds()
+	w.observed.LastLoadMS = d.Milliseconds()
 	if w.fastest == 0 || d < w.fastest {
 		w.fastest = d
 	}
--- a/controller/loadwindow_test.go
+++ b/controller/loadwindow_test.go
@@ -38,7 +38,7 @@
 		s.countLoad(&slot{}, 265*time.Millisecond)
 	}
 	assert.Equal(t, s.window.size(), maxLoading)
-	assert.Equal(t, s.window.observed, enginelink.Loads{Count: 40, TookMS: 265})
+	assert.Equal(t, s.window.observed, enginelink.Loads{Count: 40, LastLoadMS: 265})
 }
 
 func TestContendedLoadsOrderedByValue(t *testing.T) {
--- a/enginelink/status.go
+++ b/enginelink/status.go
@@ -171,8 +171,8 @@
 type Loads struct {
 	// Count counts them.
 	Count uint64 `json:"n"`
-	// TookMS is how long the last one took, in milliseconds.
-	TookMS int64 `json:"t"`
+	// LastLoadMS is how long the last one took, in milliseconds.
+	LastLoadMS int64 `json:"t"`
 }
 
 // Status is what a controller knows of its engine.
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -104,7 +104,7 @@
 	assert.Equal(t, e.instance.ID, sandbarrow.InstanceID("e0"), "60 loads count as contention before any load has finished")
 	var last enginelink.Loads
 	for n := range 10 {
-		now := enginelink.Loads{Count: uint64(n + 1), TookMS: 260}
+		now := enginelink.Loads{Count: uint64(n + 1), LastLoadMS: 260}
 		g.observeLoads(last, now)
 		last = now
 	}
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -115,7 +115,7 @@
 // observeLoads records the load times that a controller reports. last is its previous report.
 func (g *Gateway) observeLoads(last, now enginelink.Loads) {
 	if now.Count != last.Count {
-		g.loadTimes.ObserveLoad(time.Duration(now.TookMS) * time.Millisecond)
+		g.loadTimes.ObserveLoad(time.Duration(now.LastLoadMS) * time.Millisecond)
 	}
 }
 
--- a/gateway/promptmove_test.go
+++ b/gateway/promptmove_test.go
@@ -131,7 +131,7 @@
 	c, e := newMovingCall(t)
 	link := e.move.source.link
 	s := statusWithWeights(oldWeights)
-	s.Loads = enginelink.Loads{Count: 5, TookMS: 260}
+	s.Loads = enginelink.Loads{Count: 5, LastLoadMS: 260}
 	s.Speed = readspeed.Speed{Base: time.Millisecond, PerToken: time.Microsecond}
 	s.Token = 41
 	link.applyStatus(s)
