--- a/internal/await/await.go
+++ b/internal/await/await.go
@@ -1,4 +1,4 @@
-// Package await lets tests wait for what comes about by itself.
+// Package await lets tests wait for asynchronous conditions.
 package await
 
 import (
@@ -6,39 +6,38 @@
 	"time"
 )
 
-// lookPause is the pause between looks.
-const lookPause = 3 * time.Millisecond
+// pollInterval is the pause between two checks.
+const pollInterval = 3 * time.Millisecond
 
-// clock is what a wait measures time with; tests replace it.
+// clock is the time source of a wait; tests replace it.
 type clock struct {
 	now   func() time.Time
 	sleep func(time.Duration)
 }
 
-// Until waits until check holds, and ends the test when it does not within a time.
+// Until polls check until it returns true. It fails the test if that takes longer than within.
 //
-// The time in which this process was kept from running does not count: a pause between
-// two looks that takes longer than lookPause shows it. Beside a load that starves the
-// machine, or where the machine itself stands still, all processes of a test are held up
-// alike.
+// Time in which this process was not scheduled does not count. It shows as a pause between two
+// checks that takes longer than pollInterval. If the machine is overloaded or stopped, all
+// processes of a test are delayed alike.
 func Until(t testing.TB, within time.Duration, what string, check func() bool) {
 	t.Helper()
 	if !until(clock{now: time.Now, sleep: time.Sleep}, within, check) {
-		t.Fatalf("not within %v: %s", within, what)
+		t.Fatalf("condition not met within %v: %s", within, what)
 	}
 }
 
-// until reports whether check came to hold within a time, as Until counts it.
+// until reports whether check returned true in time, counted as in Until.
 func until(c clock, within time.Duration, check func() bool) bool {
-	began := c.now()
+	start := c.now()
 	var starved time.Duration
 	for !check() {
-		if c.now().Sub(began)-starved >= within {
+		if c.now().Sub(start)-starved >= within {
 			return false
 		}
-		paused := c.now()
-		c.sleep(lookPause)
-		starved += max(0, c.now().Sub(paused)-lookPause)
+		pauseStart := c.now()
+		c.sleep(pollInterval)
+		starved += max(0, c.now().Sub(pauseStart)-pollInterval)
 	}
 	return true
 }
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,14 +1,14 @@
-// Package boottime tells time for the ages that guard a rule: leases, confirmations,
-// grants, heartbeats, deadlines. The process's steady clock, which time.Now reads, does not
-// count the time in which the machine is suspended; what others hold meanwhile (a lease in
-// the store, the patience of a caller) runs on. This clock counts it. Neither follows steps
-// of the time of day.
+// Package boottime provides the clock for ages that correctness depends on: those of leases,
+// confirmations, grants, heartbeats and deadlines. The process's monotonic clock, which time.Now
+// reads, does not count the time in which the machine is suspended. Meanwhile a lease in the store
+// or the timeout of a client keeps running. This clock counts that time. Steps of the wall clock
+// affect neither.
 //
-// Its times differ from those of time.Now by the time of all suspensions since the process
-// started, so the two must not be compared. Pauses and timeouts of waiting stay with the
-// steady clock: they end later after a suspension, and guard nothing.
+// Times of this clock and of time.Now differ by the length of all suspensions since the process
+// started, so they must not be compared. Pauses and timeouts of waits use the monotonic clock: they
+// end later after a suspension, but no rule depends on them.
 //
-// Each reading is a call of the system (some 0.1 µs), where time.Now needs none.
+// Each reading is a system call of some 0.1 µs; time.Now needs none.
 package boottime
 
 import (
@@ -18,42 +18,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// start is a time of the steady clock, and what the boot clock showed then.
+// monotonicStart and bootStart are the same moment on the monotonic clock and on the boot clock.
 var (
-	start     = time.Now()
-	startBoot = sinceBoot()
+	monotonicStart = time.Now()
+	bootStart      = sinceBoot()
 )
 
-// skipped is what tests have added to the clock.
-var skipped atomic.Int64
+// testOffset is the time that tests have added to the clock, in nanoseconds.
+var testOffset atomic.Int64
 
-// Now is the time now.
+// Now returns the current time.
 func Now() time.Time {
-	return start.Add(sinceBoot() - startBoot + time.Duration(skipped.Load()))
+	return monotonicStart.Add(sinceBoot() - bootStart + time.Duration(testOffset.Load()))
 }
 
-// Since is how long ago a time of this clock was.
+// Since returns the time that has passed since a time of this clock.
 func Since(t time.Time) time.Duration {
 	return Now().Sub(t)
 }
 
-// Until is how long it is until a time of this clock.
+// Until returns the time left until a time of this clock.
 func Until(t time.Time) time.Duration {
 	return t.Sub(Now())
 }
 
-// Suspend lets the clock go on by d as it does while the machine is suspended: the steady
-// clock stands still. For tests.
+// Suspend advances this clock by d and leaves the monotonic clock alone, as a suspension of the
+// machine does. For tests.
 func Suspend(d time.Duration) {
-	skipped.Add(int64(d))
+	testOffset.Add(int64(d))
 }
 
-// sinceBoot is the time since the machine started, suspensions included. Where the system
-// has no such clock, the steady one is as good as any.
+// sinceBoot returns the time since the machine started, suspensions included. On a system without
+// this clock it falls back to the monotonic clock.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(start)
+		return time.Since(monotonicStart)
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// The clock goes on with the steady one, and counts a suspension that that one does not.
+// The clock advances with the monotonic clock, but also counts a suspension.
 func TestSuspensionCounts(t *testing.T) {
-	began, steady := Now(), time.Now()
+	start, monotonicStart := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	passed, steadyPassed := Since(began), time.Since(steady)
+	passed, monotonicPassed := Since(start), time.Since(monotonicStart)
 	assert.Assert(t, passed >= 20*time.Millisecond)
-	assert.Assert(t, (passed-steadyPassed).Abs() < 5*time.Millisecond, "%v and %v", passed, steadyPassed)
-	end := began.Add(time.Minute)
+	assert.Assert(t, (passed-monotonicPassed).Abs() < 5*time.Millisecond, "%v and %v", passed, monotonicPassed)
+	end := start.Add(time.Minute)
 	Suspend(time.Hour)
-	assert.Assert(t, Since(began) >= time.Hour)
+	assert.Assert(t, Since(start) >= time.Hour)
 	assert.Assert(t, Until(end) < 0)
-	assert.Assert(t, time.Since(steady) < time.Minute)
+	assert.Assert(t, time.Since(monotonicStart) < time.Minute)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole system in one process with stand-ins for the
-// outside systems, and drives both users' workloads through it.
+// Package demo runs the complete system in one process, with stand-ins for the outside systems, and
+// sends both users' workloads through it.
 package demo
 
 import (
@@ -28,15 +28,15 @@
 )
 
 const (
-	engineSlots = 6
-	loadTime    = 50 * time.Millisecond
-	loopback    = "127.0.0.1:0"
-	maxBatch    = 16
-	readyPause  = 20 * time.Millisecond
-	stepTime    = 2 * time.Millisecond
+	engineSlots       = 6
+	loadTime          = 50 * time.Millisecond
+	loopback          = "127.0.0.1:0"
+	maxBatch          = 16
+	readyPollInterval = 20 * time.Millisecond
+	stepTime          = 2 * time.Millisecond
 )
 
-// Demo is the running system.
+// Demo is a running system.
 type Demo struct {
 	boxes   *standin.BoxList
 	cancel  context.CancelFunc
@@ -47,16 +47,16 @@
 	service *standin.PlainService
 }
 
-// Totals are what the stand-ins counted.
+// Totals are the counts of the stand-ins.
 type Totals struct {
 	Loads, Unloads int
-	// PerStep is the mean number of requests that shared an engine step.
+	// RequestsPerStep is the mean number of requests in one engine step.
 	PerStep                 float64
 	StoreReads, StoreWrites int64
 }
 
-// Start brings the system up: two engines and one plain service in three
-// failure domains, each behind an agent, and two entries.
+// Start starts two engines and one plain service in three failure domains, each behind an agent,
+// and two entries. It returns when all of them are ready.
 func Start(ctx context.Context) (*Demo, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
@@ -79,47 +79,47 @@
 	if err != nil {
 		return err
 	}
-	list, err := d.serve(ctx, d.boxes)
+	boxListURL, err := d.serve(ctx, d.boxes)
 	if err != nil {
 		return err
 	}
-	weights, err := d.serve(ctx, standin.NewWeightStore(standin.WeightLimits{Load: loadTime, Parallel: 4}))
+	weightStoreURL, err := d.serve(ctx, standin.NewWeightStore(standin.WeightLimits{Load: loadTime, Parallel: 4}))
 	if err != nil {
 		return err
 	}
-	services := settings.Platform{BoxList: list + "/boxes", Store: kv}
+	platformSettings := settings.Platform{BoxList: boxListURL + "/boxes", Store: kv}
 	if _, _, err := config.Apply(ctx, store.NewHTTP(kv), document(), 0); err != nil {
 		return err
 	}
 	for i := range 2 {
 		e := standin.NewEngine(ctx, standin.EngineOptions{
-			ChecksToken: true, MaxBatch: maxBatch, Slots: engineSlots, Step: stepTime, WeightStore: weights,
+			ChecksToken: true, MaxBatch: maxBatch, Slots: engineSlots, Step: stepTime, WeightStore: weightStoreURL,
 		})
 		d.engines = append(d.engines, e)
-		if err := d.startAgent(ctx, services, i, e, settings.Upstream{
+		if err := d.startAgent(ctx, platformSettings, i, e, settings.Upstream{
 			BaseModel: baseModel, ChecksToken: true, Kind: settings.KindEngine, MaxRunning: maxBatch, Slots: engineSlots,
 		}); err != nil {
 			return err
 		}
 	}
-	if err := d.startAgent(ctx, services, 2, d.service, settings.Upstream{
+	if err := d.startAgent(ctx, platformSettings, 2, d.service, settings.Upstream{
 		Kind: settings.KindService, MaxRunning: maxBatch, Service: receiptService,
 	}); err != nil {
 		return err
 	}
 	for i := range 2 {
-		if err := d.startEntry(ctx, services, i); err != nil {
+		if err := d.startEntry(ctx, platformSettings, i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// serve serves a stand-in on loopback until ctx ends and returns its URL.
+// serve serves a stand-in on the loopback interface until ctx is done. It returns the stand-in's URL.
 func (d *Demo) serve(ctx context.Context, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return "", errors.Annotate(err, "demo")
+		return "", errors.Annotate(err, "demo: start a stand-in")
 	}
 	server := &http.Server{ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError), Handler: h}
 	go func() {
@@ -130,16 +130,16 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-func domain(i int) sandbarrow.FailureDomain {
+func failureDomain(i int) sandbarrow.FailureDomain {
 	return sandbarrow.FailureDomain(string(rune('a' + i)))
 }
 
-func discard() *slog.Logger {
+func discardLogger() *slog.Logger {
 	return slog.New(slog.NewTextHandler(io.Discard, nil))
 }
 
-func (d *Demo) startAgent(ctx context.Context, p settings.Platform, i int, backend http.Handler, u settings.Upstream) error {
-	url, err := d.serve(ctx, backend)
+func (d *Demo) startAgent(ctx context.Context, p settings.Platform, i int, upstream http.Handler, u settings.Upstream) error {
+	url, err := d.serve(ctx, upstream)
 	if err != nil {
 		return err
 	}
@@ -152,11 +152,11 @@
 			Upstream:    u,
 			WeightStore: settings.WeightStore{LoadsPerSecond: 40, ParallelLoads: 4},
 		},
-		Box:      settings.Box{FailureDomain: domain(i), ID: sandbarrow.BoxID(fmt.Sprintf("agent-%d", i))},
+		Box:      settings.Box{FailureDomain: failureDomain(i), ID: sandbarrow.BoxID(fmt.Sprintf("agent-%d", i))},
 		Listen:   settings.Listen{HTTP: loopback, RPC: loopback},
 		Platform: p,
 	}
-	a, err := agent.New(s, platform.Announcements{}, discard(), prometheus.NewRegistry())
+	a, err := agent.New(s, platform.Announcements{}, discardLogger(), prometheus.NewRegistry())
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 
 func (d *Demo) startEntry(ctx context.Context, p settings.Platform, i int) error {
 	s := &settings.Settings{
-		Box: settings.Box{FailureDomain: domain(i), ID: sandbarrow.BoxID(fmt.Sprintf("entry-%d", i))},
+		Box: settings.Box{FailureDomain: failureDomain(i), ID: sandbarrow.BoxID(fmt.Sprintf("entry-%d", i))},
 		Entry: &settings.Entry{
 			DefaultDeadline: jsonc.Duration(10 * time.Second), MaxBodyBytes: 1 << 20,
 			RetryShare: 0.1, StopGrace: jsonc.Duration(5 * time.Second),
@@ -178,7 +178,7 @@
 		Listen:   settings.Listen{HTTP: loopback},
 		Platform: p,
 	}
-	e, err := entry.New(s, discard(), prometheus.NewRegistry())
+	e, err := entry.New(s, discardLogger(), prometheus.NewRegistry())
 	if err != nil {
 		return err
 	}
@@ -187,22 +187,22 @@
 	return nil
 }
 
-// waitReady waits until each entry knows all agents.
+// waitReady waits until each entry is ready and connected to all agents.
 func (d *Demo) waitReady(ctx context.Context) error {
 	for _, e := range d.entries {
 		for !e.Ready() || e.Connected() < 3 {
 			select {
 			case <-ctx.Done():
 				d.Stop()
-				return errors.New("demo: not ready in time")
-			case <-time.After(readyPause):
+				return errors.New("demo: context done before all entries were ready")
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Report makes the burn report from the entries' metrics.
+// Report builds the report of service-level burn from the entries' metrics.
 func (d *Demo) Report(ctx context.Context) (*burn.Report, error) {
 	urls := make([]string, len(d.entries))
 	for i, e := range d.entries {
@@ -211,16 +211,16 @@
 	return burn.Scrape(ctx, urls)
 }
 
-// Stop ends the system and waits for it.
+// Stop stops the system and waits until all components have stopped.
 func (d *Demo) Stop() {
 	d.cancel()
-	_ = d.group.Wait() // each part has answered for itself before
+	_ = d.group.Wait() // each component has already reported its own failure
 }
 
-// Totals sums what the stand-ins counted.
+// Totals returns the sums of the stand-ins' counts.
 func (d *Demo) Totals() Totals {
 	t := Totals{StoreReads: d.kv.Reads.Load(), StoreWrites: d.kv.Writes.Load()}
-	var steps, slots int64
+	var steps, requests int64
 	for _, e := range d.engines {
 		for _, o := range e.Log().Orders {
 			if o.Unload {
@@ -229,11 +229,11 @@
 				t.Loads++
 			}
 		}
-		steps += e.StepsTaken.Load()
-		slots += e.StepSlots.Load()
+		steps += e.Steps.Load()
+		requests += e.BatchedRequests.Load()
 	}
 	if steps > 0 {
-		t.PerStep = float64(slots) / float64(steps)
+		t.PerStep = float64(requests) / float64(steps)
 	}
 	return t
 }
--- a/internal/demo/document.go
+++ b/internal/demo/document.go
@@ -16,11 +16,11 @@
 	demoAdapters   = 24
 	receiptService = sandbarrow.ServiceID("receipts")
 	servicePath    = "/receipts/"
-	// rolloutPercent of the callers get version v2 of the rolled-out adapters.
+	// rolloutPercent is the percentage of callers that get version v2 of the address estate's adapters.
 	rolloutPercent = 50
 )
 
-// estates are the users' estates, cut down to the demo's size.
+// estates returns the users' estates, reduced to the demo's size.
 func estates() []workload.Estate {
 	list := []workload.Estate{workload.Address(), workload.Registre()}
 	for i := range list {
@@ -31,7 +31,7 @@
 	return list
 }
 
-// keyOf is the bearer key of a class's one caller.
+// keyOf returns the bearer key of the only caller of a class.
 func keyOf(class sandbarrow.CallerClass) string {
 	return "key-of-" + string(class)
 }
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	driveTime   = 3 * time.Second
-	maxTokens   = 60
-	receiptsMod = 10
-	seed        = 7
-	skew        = 1.1
-	streamMod   = 3
+	driveDuration   = 3 * time.Second
+	maxTokens       = 60
+	receiptInterval = 10
+	seed            = 7
+	skew            = 1.1
+	streamInterval  = 3
 )
 
-// Answer is one answer as its caller saw it.
+// Response is one response as its caller received it.
 type Answer struct {
 	Class sandbarrow.CallerClass
-	// Fault is empty when the answer was whole and right.
+	// Fault is empty if the response was complete and correct.
 	Fault string
 	Kind  string
 	Model string
 	Took  time.Duration
 }
 
-// Drive sends both estates' requests, a third of them streamed, and some
-// once-only calls of the plain service, and checks each answer.
+// Drive sends the requests of both estates and checks each response. One in ten is an at-most-once
+// call of the plain service; a third of the others are streamed.
 func (d *Demo) Drive(ctx context.Context) []Answer {
-	var answers []Answer
+	var responses []Answer
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, e := range estates() {
-		trace := workload.Trace(&e, workload.Options{Duration: driveTime, Seed: seed, Skew: skew})
+		trace := workload.Trace(&e, workload.Options{Duration: driveDuration, Seed: seed, Skew: skew})
 		start := time.Now()
 		wg.Go(func() {
 			for i, r := range trace {
 				sleepUntil(ctx, start.Add(r.At))
 				wg.Go(func() {
-					a := d.one(ctx, i, r)
+					response := d.send(ctx, i, r)
 					mu.Lock()
 					defer mu.Unlock()
-					answers = append(answers, a)
+					responses = append(responses, response)
 				})
 			}
 		})
 	}
 	wg.Wait()
-	return answers
+	return responses
 }
 
 func sleepUntil(ctx context.Context, t time.Time) {
@@ -68,44 +68,44 @@
 	}
 }
 
-func (d *Demo) one(ctx context.Context, i int, r workload.Request) Answer {
+func (d *Demo) send(ctx context.Context, i int, r workload.Request) Answer {
 	url := "http://" + d.entries[i%len(d.entries)].Address()
-	a := Answer{Class: r.Class.Class, Kind: "answer"}
+	response := Answer{Class: r.Class.Class, Kind: "answer"}
 	start := time.Now()
 	var err error
 	prompt := fmt.Sprintf("%s %s %d", r.Adapter, r.Class.Class, i)
 	switch {
-	case i%receiptsMod == 0:
-		a.Kind = "receipt"
-		err = d.receipt(ctx, url, prompt, &a)
+	case i%receiptInterval == 0:
+		response.Kind = "receipt"
+		err = d.requestReceipt(ctx, url, prompt, &response)
 	default:
-		err = completion(ctx, url, prompt, r, i%streamMod == 0, &a)
+		err = requestCompletion(ctx, url, prompt, r, i%streamInterval == 0, &response)
 	}
-	a.Took = time.Since(start)
+	response.Took = time.Since(start)
 	if err != nil {
-		a.Fault = err.Error()
+		response.Fault = err.Error()
 	}
-	return a
+	return response
 }
 
-// tagOf is the digest that the stand-ins put into their answers.
-func tagOf(content []byte) string {
+// contentTag returns the digest of content that the stand-ins put into their responses.
+func contentTag(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:8])
 }
 
-func (d *Demo) receipt(ctx context.Context, url, content string, a *Answer) error {
-	body, _, err := post(ctx, url+servicePath+"new", []byte(content), a.Class)
+func (d *Demo) requestReceipt(ctx context.Context, url, content string, response *Answer) error {
+	body, _, err := post(ctx, url+servicePath+"new", []byte(content), response.Class)
 	if err != nil {
 		return err
 	}
-	if !strings.Contains(string(body), tagOf([]byte(content))) {
-		return fmt.Errorf("another request's receipt: %s", body)
+	if !strings.Contains(string(body), contentTag([]byte(content))) {
+		return fmt.Errorf("receipt of another request: %s", body)
 	}
 	return nil
 }
 
-func completion(ctx context.Context, url, prompt string, r workload.Request, stream bool, a *Answer) error {
+func requestCompletion(ctx context.Context, url, prompt string, r workload.Request, stream bool, response *Answer) error {
 	quoted, err := json.Marshal(prompt)
 	if err != nil {
 		return err
@@ -113,30 +113,30 @@
 	tokens := min(maxTokens, r.Tokens)
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d,"stream":%t,"prompt":%s}`, r.Adapter, tokens, stream, quoted)
 	if stream {
-		a.Kind = "stream"
+		response.Kind = "stream"
 	}
-	answer, header, err := post(ctx, url+"/v1/completions", []byte(body), a.Class)
+	content, header, err := post(ctx, url+"/v1/completions", []byte(body), response.Class)
 	if err != nil {
 		return err
 	}
-	a.Model = header.Get("Sandbarrow-Model")
-	return check(string(answer), a.Model, string(r.Adapter), tagOf(quoted), tokens, stream)
+	response.Model = header.Get("Sandbarrow-Model")
+	return checkResponse(string(content), response.Model, string(r.Adapter), contentTag(quoted), tokens, stream)
 }
 
-// check compares an answer with what was asked.
-func check(answer, model, adapter, tag string, tokens int, stream bool) error {
+// checkResponse compares a response with its request.
+func checkResponse(content, model, adapter, tag string, tokens int, stream bool) error {
 	last := fmt.Sprintf("t%d", tokens-1)
 	switch {
 	case !strings.HasPrefix(model, adapter+"@"):
-		return fmt.Errorf("answered by %s", model)
-	case !strings.Contains(answer, fmt.Sprintf(`"model":%q`, model)):
-		return fmt.Errorf("the engine did not run %s", model)
-	case !strings.Contains(answer, tag):
-		return fmt.Errorf("another request's answer")
-	case !strings.Contains(answer, last):
-		return fmt.Errorf("the answer is cut")
-	case stream && !strings.HasSuffix(answer, "data: [DONE]\n\n"):
-		return fmt.Errorf("the stream has no end")
+		return fmt.Errorf("response is from model %s", model)
+	case !strings.Contains(content, fmt.Sprintf(`"model":%q`, model)):
+		return fmt.Errorf("response body does not name model %s", model)
+	case !strings.Contains(content, tag):
+		return fmt.Errorf("response to another request")
+	case !strings.Contains(content, last):
+		return fmt.Errorf("response is truncated")
+	case stream && !strings.HasSuffix(content, "data: [DONE]\n\n"):
+		return fmt.Errorf("stream has no [DONE] event")
 	}
 	return nil
 }
@@ -153,12 +153,12 @@
 		return nil, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	content, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return nil, nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, nil, fmt.Errorf("status %d: %s", resp.StatusCode, answer)
+		return nil, nil, fmt.Errorf("status %d: %s", resp.StatusCode, content)
 	}
-	return answer, resp.Header, nil
+	return content, resp.Header, nil
 }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,8 +1,8 @@
-// Package httpcall makes single HTTP calls to the outside systems: the stores,
-// the list of boxes and the orders to engines. It owns how a request is built,
-// sent and read to its end, and tells a call that was never sent from one that
-// may have taken effect. It translates no status and retries nothing; its callers
-// turn its errors into their own. The context ends a call in flight.
+// Package httpcall makes single HTTP calls to the outside systems: the stores, the list of boxes and
+// the orders to engines. It builds and sends the request and reads the complete response. Its errors
+// distinguish a call that was never sent from one that may have taken effect. It does not interpret
+// the status or retry; callers convert its errors into their own. The context cancels a call in
+// flight.
 package httpcall
 
 import (
@@ -17,39 +17,38 @@
 
 // The errors of a call.
 const (
-	// ErrNotSent means that no connection came about, so the call had no effect.
+	// ErrNotSent means that no connection was established, so the call had no effect.
 	ErrNotSent = errors.ConstError("httpcall: not sent")
 	// ErrUnknown means that the call may have taken effect.
 	ErrUnknown = errors.ConstError("httpcall: outcome unknown")
 )
 
-// Call is one call.
+// Call describes one call.
 type Call struct {
-	// Body is sent as it is; an empty one is sent as no body.
+	// Body is sent unchanged. If it is empty, the request has no body.
 	Body []byte
-	// Header holds the request's own headers; it may be nil.
+	// Header holds the request's headers; it may be nil.
 	Header http.Header
-	// Limit bounds the answer's body in bytes, what lies beyond is not read; 0 is
-	// no bound.
+	// Limit is the maximum number of bytes to read of the response body; 0 is unlimited.
 	Limit  int64
 	Method string
 	URL    string
 }
 
-// Answer is an answer that was read to its end.
-type Answer struct {
+// Response is a response that was read to its end.
+type Response struct {
 	Body   []byte
 	Header http.Header
-	// Status is the HTTP status; 0 where no head of an answer came.
+	// Status is the HTTP status; 0 if no response header arrived.
 	Status int
 }
 
-// Do makes a call. Where the answer ended within its body, Do returns ErrUnknown
-// and the answer's head.
-func Do(ctx context.Context, client *http.Client, c Call) (Answer, error) {
+// Do makes a call. If the response broke off within its body, Do returns ErrUnknown and the response
+// header.
+func Do(ctx context.Context, client *http.Client, c Call) (Response, error) {
 	r, err := http.NewRequestWithContext(ctx, c.Method, c.URL, bytes.NewReader(c.Body))
 	if err != nil {
-		return Answer{}, errors.Annotate(ErrNotSent, err.Error())
+		return Response{}, errors.Annotate(ErrNotSent, err.Error())
 	}
 	if c.Header != nil {
 		r.Header = c.Header
@@ -57,12 +56,12 @@
 	response, err := client.Do(r)
 	if err != nil {
 		if NotSent(err) {
-			return Answer{}, errors.Annotate(ErrNotSent, err.Error())
+			return Response{}, errors.Annotate(ErrNotSent, err.Error())
 		}
-		return Answer{}, errors.Annotate(ErrUnknown, err.Error())
+		return Response{}, errors.Annotate(ErrUnknown, err.Error())
 	}
 	defer response.Body.Close()
-	a := Answer{Header: response.Header, Status: response.StatusCode}
+	a := Response{Header: response.Header, Status: response.StatusCode}
 	var body io.Reader = response.Body
 	if c.Limit > 0 {
 		body = io.LimitReader(body, c.Limit)
@@ -73,17 +72,16 @@
 	return a, nil
 }
 
-// LeaveSilent closes the connections that a client keeps if a call got no answer before the
-// deadline of its ctx. Where one connection has gone silent without a reset, those that are
-// kept may have too, and the next call would hang on one of them for as long again.
+// CloseHungConnections closes the client's idle connections if a call got no response before the
+// deadline of its ctx. If one connection hangs without a reset, the idle ones may hang as well. The
+// next call would then wait on one of them for as long again.
 func LeaveSilent(ctx context.Context, client *http.Client) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		client.CloseIdleConnections()
 	}
 }
 
-// NotSent reports whether an error of an http.Client means that no connection
-// came about.
+// NotSent reports whether an error of an http.Client means that no connection was established.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -10,40 +10,40 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDo(t *testing.T) {
+func TestDoDistinguishesNotSentFromUnknown(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
-		case "/cut":
+		case "/truncated":
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("half"))
 		case "/aborted":
 			panic(http.ErrAbortHandler)
 		default:
-			w.Header().Set("Asked", r.Method+" "+r.Header.Get("Extra"))
+			w.Header().Set("Echo", r.Method+" "+r.Header.Get("Extra"))
 			w.WriteHeader(http.StatusTeapot)
 			_, _ = w.Write([]byte("answer"))
 		}
 	}))
 	defer server.Close()
 
-	t.Run("answered", func(t *testing.T) {
-		a, err := Do(context.Background(), server.Client(), Call{
+	t.Run("complete response", func(t *testing.T) {
+		response, err := Do(context.Background(), server.Client(), Call{
 			Body: []byte("x"), Header: http.Header{"Extra": {"h"}}, Limit: 3, Method: http.MethodPut, URL: server.URL,
 		})
 		assert.NilError(t, err)
-		assert.Equal(t, a.Status, http.StatusTeapot)
-		assert.Equal(t, string(a.Body), "ans")
-		assert.Equal(t, a.Header.Get("Asked"), "PUT h")
+		assert.Equal(t, response.Status, http.StatusTeapot)
+		assert.Equal(t, string(response.Body), "ans")
+		assert.Equal(t, response.Header.Get("Echo"), "PUT h")
 	})
-	t.Run("cut", func(t *testing.T) {
-		a, err := Do(context.Background(), server.Client(), Call{Method: http.MethodGet, URL: server.URL + "/cut"})
+	t.Run("truncated body", func(t *testing.T) {
+		response, err := Do(context.Background(), server.Client(), Call{Method: http.MethodGet, URL: server.URL + "/truncated"})
 		assert.ErrorIs(t, err, ErrUnknown)
-		assert.Equal(t, a.Status, http.StatusOK)
+		assert.Equal(t, response.Status, http.StatusOK)
 	})
-	t.Run("aborted", func(t *testing.T) {
-		a, err := Do(context.Background(), server.Client(), Call{Method: http.MethodPost, URL: server.URL + "/aborted"})
+	t.Run("no response", func(t *testing.T) {
+		response, err := Do(context.Background(), server.Client(), Call{Method: http.MethodPost, URL: server.URL + "/aborted"})
 		assert.ErrorIs(t, err, ErrUnknown)
-		assert.Equal(t, a.Status, 0)
+		assert.Equal(t, response.Status, 0)
 	})
 	t.Run("not sent", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/listening/listening.go
+++ b/internal/listening/listening.go
@@ -1,4 +1,4 @@
-// Package listening finds out whether a process listens at an address. It owns nothing.
+// Package listening checks whether a process listens at a TCP address. It keeps no state.
 package listening
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/juju/errors"
 )
 
-// State is what a dial shows of an address.
+// State is the state of an address as a dial shows it.
 type State int
 
 // The states of an address.
 const (
-	// Unknown means that no answer came, which says nothing.
+	// Unknown means that the dial got no reply. A process may or may not listen there.
 	Unknown State = iota
-	// Listens means that something listens there.
+	// Accepted means that the connection was accepted: a process listens there.
 	Listens
-	// Refuses means that nothing does.
+	// Refused means that the connection was refused: no process listens there.
 	Refuses
 )
 
--- a/internal/listening/listening_test.go
+++ b/internal/listening/listening_test.go
@@ -9,14 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestDial(t *testing.T) {
+func TestDialDetectsListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
 	assert.Equal(t, Dial(t.Context(), address, time.Second), Listens)
 	assert.NilError(t, l.Close())
 	assert.Equal(t, Dial(t.Context(), address, time.Second), Refuses)
-	left, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Equal(t, Dial(left, address, time.Second), Unknown)
+	assert.Equal(t, Dial(canceled, address, time.Second), Unknown)
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or the end of a context.
+// Package pause waits for a duration or until a context is done.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits until d has passed or ctx ends, whichever comes first.
+// For waits until d has passed or ctx is done, whichever comes first.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/standin/boxlist.go
+++ b/standin/boxlist.go
@@ -9,13 +9,13 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// BoxList is a stand-in for the platform's lagging list of boxes.
+// BoxList is a stand-in for the platform's list of boxes, which shows changes with a delay.
 type BoxList struct {
 	faultSwitch
 	handler http.Handler
 	lag     time.Duration
 	mu      sync.Mutex
-	shown   []sandbarrow.Box
+	visible []sandbarrow.Box
 }
 
 // NewBoxList returns a list that shows each change after lag.
@@ -25,7 +25,7 @@
 	mux.HandleFunc("GET /boxes", func(w http.ResponseWriter, _ *http.Request) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		writeJSON(w, http.StatusOK, b.shown)
+		writeJSON(w, http.StatusOK, b.visible)
 	})
 	mux.HandleFunc("PUT /boxes", func(w http.ResponseWriter, r *http.Request) {
 		var boxes []sandbarrow.Box
@@ -39,19 +39,19 @@
 	return b
 }
 
-// Add shows one more box at once.
+// Add adds a box to the list without delay.
 func (b *BoxList) Add(box sandbarrow.Box) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.shown = append(b.shown, box)
+	b.visible = append(b.visible, box)
 }
 
-// Replace sets the boxes, to be shown after the lag.
+// Replace replaces the list after the lag.
 func (b *BoxList) Replace(boxes []sandbarrow.Box) {
 	show := func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.shown = boxes
+		b.visible = boxes
 	}
 	if b.lag == 0 {
 		show()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,23 +13,23 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// EngineOptions describe an Engine.
+// EngineOptions configure an Engine.
 type EngineOptions struct {
-	// Announcements writes what the engine announces of itself.
+	// Notices writes the engine's drain, backoff and limit notices into responses.
 	Announcements sandbarrow.NoticeWriter
-	// ChecksToken makes orders under an older fencing token fail.
+	// ChecksToken rejects orders that carry an older fencing token.
 	ChecksToken bool
-	// MaxBatch is the number of requests that share a step.
+	// MaxBatch is the maximum number of requests in one step.
 	MaxBatch int
-	// Slots is the number of adapters that fit.
+	// Slots is the number of adapters that can be loaded at once.
 	Slots int
-	// Step is the time of one step; 0 answers without steps.
+	// Step is the duration of one step; 0 completes each request at once.
 	Step time.Duration
-	// WeightStore is the base URL of the weight store; empty loads at once.
+	// WeightStore is the base URL of the weight store. If it is empty, loads fetch no weights.
 	WeightStore string
 }
 
-// Engine is a stand-in for a model engine that batches continuously.
+// Engine is a stand-in for a model engine with continuous batching.
 type Engine struct {
 	faultSwitch
 	handler http.Handler
@@ -37,28 +37,28 @@
 	mu      sync.Mutex
 	options EngineOptions
 
-	loaded  map[string]int // running requests by loaded model
-	running map[string]*generation
-	start   time.Time
-	starts  int
-	streams map[string]*generation
-	token   uint64
-	waiting []*generation
+	loaded       map[string]int // waiting and running requests by loaded model
+	running      map[string]*generation
+	startTime    time.Time
+	restarts     int
+	streams      map[string]*generation
+	highestToken uint64
+	waiting      []*generation
 
-	// StepsTaken counts steps with work, StepSlots the requests in them.
-	StepsTaken, StepSlots atomic.Int64
+	// Steps counts the steps with at least one request, BatchedRequests the requests in them.
+	Steps, BatchedRequests atomic.Int64
 }
 
-// NewEngine returns an empty engine that steps until ctx ends.
+// NewEngine returns an engine without adapters. Its step loop runs until ctx is done.
 func NewEngine(ctx context.Context, o EngineOptions) *Engine {
 	e := &Engine{
-		faultSwitch: faultSwitch{announcements: o.Announcements},
+		faultSwitch: faultSwitch{notices: o.Announcements},
 
-		loaded:  map[string]int{},
-		options: o,
-		running: map[string]*generation{},
-		start:   time.Now(),
-		streams: map[string]*generation{},
+		loaded:    map[string]int{},
+		options:   o,
+		running:   map[string]*generation{},
+		startTime: time.Now(),
+		streams:   map[string]*generation{},
 	}
 	e.onSet = func(f Faults) {
 		if f.Restart {
@@ -90,13 +90,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, g := range e.running {
-		g.cut()
+		g.abort()
 	}
 	for _, g := range e.waiting {
-		g.cut()
+		g.abort()
 	}
 	e.loaded, e.running, e.streams, e.waiting = map[string]int{}, map[string]*generation{}, map[string]*generation{}, nil
-	e.starts++
+	e.restarts++
 }
 
 func (e *Engine) serveModels(w http.ResponseWriter, _ *http.Request) {
@@ -113,7 +113,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{
 		"object": "list",
 		"data":   models,
-		"start":  fmt.Sprintf("%d-%d", e.start.UnixNano(), e.starts),
+		"start":  fmt.Sprintf("%d-%d", e.startTime.UnixNano(), e.restarts),
 	})
 }
 
@@ -131,11 +131,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.ChecksToken && o.Token < e.token {
+	if e.options.ChecksToken && o.Token < e.highestToken {
 		http.Error(w, "order has an older fencing token", http.StatusPreconditionFailed)
 		return o, false
 	}
-	e.token = max(e.token, o.Token)
+	e.highestToken = max(e.highestToken, o.Token)
 	return o, true
 }
 
@@ -144,11 +144,11 @@
 	if !ok {
 		return
 	}
-	if e.take(func(f *Faults) *int { return &f.HangLoads }) {
+	if e.consume(func(f *Faults) *int { return &f.HangLoads }) {
 		<-r.Context().Done()
 		return
 	}
-	if e.take(func(f *Faults) *int { return &f.FailLoads }) {
+	if e.consume(func(f *Faults) *int { return &f.FailLoads }) {
 		http.Error(w, "load failed", http.StatusInternalServerError)
 		return
 	}
@@ -197,7 +197,7 @@
 	e.log.addOrder(OrderRecord{Model: o.Name, Running: running, Unload: true})
 	for id, g := range e.running {
 		if g.model == o.Name {
-			g.cut()
+			g.abort()
 			delete(e.running, id)
 		}
 	}
@@ -212,7 +212,7 @@
 }
 
 func (e *Engine) serveRun(w http.ResponseWriter, r *http.Request) {
-	if e.backsOff(w, &e.log) {
+	if e.rejectInBackoff(w, &e.log) {
 		return
 	}
 	raw, b, err := readRun(r)
@@ -221,19 +221,19 @@
 		return
 	}
 	g := &generation{
-		answered: b.Model,
-		id:       r.Header.Get("X-Request-Id"),
-		model:    b.Model,
-		priority: b.Priority,
-		tag:      tag(raw),
-		total:    max(1, b.MaxTokens),
-		wake:     make(chan struct{}),
+		responseModel: b.Model,
+		id:            r.Header.Get("X-Request-Id"),
+		model:         b.Model,
+		priority:      b.Priority,
+		tag:           tag(raw),
+		totalTokens:   max(1, b.MaxTokens),
+		changed:       make(chan struct{}),
 	}
-	if e.take(func(f *Faults) *int { return &f.WrongModel }) {
-		g.answered = "other@v0"
+	if e.consume(func(f *Faults) *int { return &f.WrongModel }) {
+		g.responseModel = "other@v0"
 	}
-	if e.take(func(f *Faults) *int { return &f.Truncate }) {
-		g.truncateAt = max(1, g.total/2)
+	if e.consume(func(f *Faults) *int { return &f.Truncate }) {
+		g.truncateAt = max(1, g.totalTokens/2)
 	}
 	if !e.admit(g, r.URL.Path) {
 		http.Error(w, "model "+strconv.Quote(b.Model)+" is not loaded", http.StatusNotFound)
@@ -245,14 +245,14 @@
 	if b.Stream {
 		g.serveStream(w, r, 0)
 	} else {
-		g.serveWhole(w, r)
+		g.serveComplete(w, r)
 	}
 	if r.Context().Err() != nil {
 		e.cancel(g)
 	}
 }
 
-// admit logs the run and queues it, unless its model is not loaded.
+// admit logs and queues the run. It returns false if the run's model is not loaded.
 func (e *Engine) admit(g *generation, path string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -261,7 +261,7 @@
 	}
 	e.log.addRun(Run{Request: g.id, Model: g.model, Path: path, Tag: g.tag})
 	if e.options.Step == 0 {
-		g.advance(g.total)
+		g.advance(g.totalTokens)
 		return true
 	}
 	e.loaded[g.model]++
@@ -270,11 +270,11 @@
 	return true
 }
 
-// cancel ends a generation whose caller left.
+// cancel aborts a generation whose client disconnected.
 func (e *Engine) cancel(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	g.cut()
+	g.abort()
 }
 
 // serveResume continues a stream after the event in Last-Event-ID.
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -10,57 +10,57 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// Faults are the faults of one stand-in. Counts are used up one by one.
+// Faults are the faults injected into one stand-in. Each call that a count affects decrements it.
 type Faults struct {
-	// Backoff refuses each run and announces the text as when to come back; "" refuses none.
+	// Backoff rejects each run with this text as the backoff notice; "" rejects none.
 	Backoff string `json:"backoff"`
-	// Copy takes a copy of the state for Restore (key-value service).
+	// Copy copies the state for a later Restore (key-value service).
 	Copy bool `json:"copy"`
-	// DelayMS holds each call back by milliseconds.
+	// DelayMS delays each call by this number of milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// Down cuts each call before it has any effect.
+	// Down aborts each call before it takes effect.
 	Down bool `json:"down"`
-	// Draining is announced in each answer as that the upstream drains; "" announces nothing.
+	// Draining is the text of the drain notice in each response; "" sends none.
 	Draining string `json:"draining"`
-	// FailLoads fails as many loads (engine).
+	// FailLoads is the number of loads to fail (engine).
 	FailLoads int `json:"fail_loads"`
-	// Fatal restarts the engine whenever a run of that tag begins (engine).
+	// Fatal restarts the engine each time that a run with this tag starts (engine).
 	Fatal string `json:"fatal"`
-	// HangLoads hangs as many loads until their caller leaves (engine).
+	// HangLoads is the number of loads that hang until their client disconnects (engine).
 	HangLoads int `json:"hang_loads"`
-	// Limit is announced as the limit on requests a second in each answer; "" announces none.
+	// Limit is the text of the notice in each response that limits requests per second; "" sends none.
 	Limit string `json:"limit"`
-	// LoseReplies cuts as many changing calls after they took effect.
+	// LoseReplies is the number of mutating calls to abort after they took effect.
 	LoseReplies int `json:"lose_replies"`
-	// Restart empties the engine and cuts what runs, at once.
+	// Restart unloads all adapters of the engine and aborts its requests at once.
 	Restart bool `json:"restart"`
-	// Restore restores the last copy, or the empty state if none was taken, and begins the next era
+	// Restore restores the last copy, or the empty state if there is no copy, and starts the next era
 	// (key-value service).
 	Restore bool `json:"restore"`
-	// Truncate cuts as many answers in the middle (engine).
+	// Truncate is the number of responses to abort in the middle (engine).
 	Truncate int `json:"truncate"`
-	// WrongModel answers as many runs under another model's name (engine).
+	// WrongModel is the number of responses that name another model (engine).
 	WrongModel int `json:"wrong_model"`
 }
 
-// faultSwitch guards the faults of a stand-in and applies the general ones.
+// faultSwitch stores the active faults of a stand-in and applies those common to all stand-ins.
 type faultSwitch struct {
-	// announcements is nil for a stand-in that announces nothing.
-	announcements sandbarrow.NoticeWriter
-	onSet         func(Faults)
+	// notices is nil for a stand-in that sends no notices.
+	notices sandbarrow.NoticeWriter
+	onSet   func(Faults)
 
 	mu     sync.Mutex
 	faults Faults
 }
 
-// get returns the faults in force.
+// get returns the active faults.
 func (s *faultSwitch) get() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Set replaces the faults in force.
+// Set replaces the active faults.
 func (s *faultSwitch) Set(f Faults) {
 	s.mu.Lock()
 	s.faults = f
@@ -70,8 +70,8 @@
 	}
 }
 
-// take uses up one of the count that pick selects.
-func (s *faultSwitch) take(pick func(*Faults) *int) bool {
+// consume decrements the count that pick selects. It returns false if the count is used up.
+func (s *faultSwitch) consume(pick func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := pick(&s.faults)
@@ -82,7 +82,7 @@
 	return true
 }
 
-// wrap serves POST /faults and applies the general faults to all other calls.
+// wrap serves POST /faults and applies the common faults to all other calls.
 func (s *faultSwitch) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/faults" {
@@ -96,11 +96,11 @@
 		if f.Down {
 			panic(http.ErrAbortHandler)
 		}
-		if s.announcements != nil {
-			s.announcements.Write(w.Header(), sandbarrow.RawNotice{Draining: f.Draining, Limit: f.Limit})
+		if s.notices != nil {
+			s.notices.Write(w.Header(), sandbarrow.RawNotice{Draining: f.Draining, Limit: f.Limit})
 		}
-		changes := r.Method != http.MethodGet
-		if changes && s.take(func(f *Faults) *int { return &f.LoseReplies }) {
+		mutating := r.Method != http.MethodGet
+		if mutating && s.consume(func(f *Faults) *int { return &f.LoseReplies }) {
 			next.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -108,14 +108,14 @@
 	})
 }
 
-// backsOff refuses a run where the faults say so.
-func (s *faultSwitch) backsOff(w http.ResponseWriter, l *runLog) bool {
+// rejectInBackoff rejects a run and returns true if the Backoff fault is set.
+func (s *faultSwitch) rejectInBackoff(w http.ResponseWriter, l *runLog) bool {
 	f := s.get()
 	if f.Backoff == "" {
 		return false
 	}
 	l.addRefusal()
-	s.announcements.Write(w.Header(), sandbarrow.RawNotice{Backoff: f.Backoff})
+	s.notices.Write(w.Header(), sandbarrow.RawNotice{Backoff: f.Backoff})
 	http.Error(w, "no requests now", http.StatusServiceUnavailable)
 	return true
 }
@@ -132,5 +132,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the peer may have left
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
--- a/standin/generation.go
+++ b/standin/generation.go
@@ -12,78 +12,78 @@
 	"time"
 )
 
-// keepStreams is how many generations an engine keeps for resuming.
-const keepStreams = 256
+// maxStreams is the number of resumable generations above which an engine drops the finished ones.
+const maxStreams = 256
 
 // generation is one run on an Engine.
 type generation struct {
-	answered   string
-	id         string
-	model      string
-	priority   int
-	tag        string
-	total      int
-	truncateAt int
+	responseModel string
+	id            string
+	model         string
+	priority      int
+	tag           string
+	totalTokens   int
+	truncateAt    int
 
-	mu    sync.Mutex
-	dead  bool
-	ready int
-	wake  chan struct{}
+	mu          sync.Mutex
+	aborted     bool
+	readyTokens int
+	changed     chan struct{}
 }
 
-// advance makes n more tokens ready and reports whether the run has ended.
+// advance makes n more tokens ready and reports whether the run has finished.
 func (g *generation) advance(n int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ready = min(g.total, g.ready+n)
-	close(g.wake)
-	g.wake = make(chan struct{})
-	return g.dead || g.ready == g.total
+	g.readyTokens = min(g.totalTokens, g.readyTokens+n)
+	close(g.changed)
+	g.changed = make(chan struct{})
+	return g.aborted || g.readyTokens == g.totalTokens
 }
 
-// cut ends the run without its remaining tokens.
-func (g *generation) cut() {
+// abort ends the run without its remaining tokens.
+func (g *generation) abort() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dead = true
-	close(g.wake)
-	g.wake = make(chan struct{})
+	g.aborted = true
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-func (g *generation) state() (ready int, dead bool, wake chan struct{}) {
+func (g *generation) state() (readyTokens int, aborted bool, changed chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ready, g.dead, g.wake
+	return g.readyTokens, g.aborted, g.changed
 }
 
 // waitPast waits until more than n tokens are ready.
 func (g *generation) waitPast(ctx context.Context, n int) (int, error) {
 	for {
-		ready, dead, wake := g.state()
+		ready, aborted, changed := g.state()
 		if ready > n {
 			return ready, nil
 		}
-		if dead {
+		if aborted {
 			return 0, io.ErrUnexpectedEOF
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		}
 	}
 }
 
-func (g *generation) serveWhole(w http.ResponseWriter, r *http.Request) {
-	if _, err := g.waitPast(r.Context(), g.total-1); err != nil {
+func (g *generation) serveComplete(w http.ResponseWriter, r *http.Request) {
+	if _, err := g.waitPast(r.Context(), g.totalTokens-1); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	body, _ := json.Marshal(map[string]any{
 		"id":      g.id,
-		"model":   g.answered,
+		"model":   g.responseModel,
 		"object":  "text_completion",
-		"choices": []map[string]any{{"index": 0, "text": g.text(0, g.total), "finish_reason": "stop"}},
-		"usage":   map[string]int{"completion_tokens": g.total},
+		"choices": []map[string]any{{"index": 0, "text": g.text(0, g.totalTokens), "finish_reason": "stop"}},
+		"usage":   map[string]int{"completion_tokens": g.totalTokens},
 	})
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", fmt.Sprint(len(body)))
@@ -94,7 +94,7 @@
 	_, _ = w.Write(body)
 }
 
-// text returns the tokens [from, to); the first is the tag of the request.
+// text returns the tokens [from, to). Token 0 is the tag of the request.
 func (g *generation) text(from, to int) string {
 	var sb strings.Builder
 	for i := from; i < to; i++ {
@@ -111,7 +111,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := w.(http.Flusher)
 	flusher.Flush()
-	for sent := from; sent < g.total; {
+	for sent := from; sent < g.totalTokens; {
 		ready, err := g.waitPast(r.Context(), sent)
 		if err != nil {
 			panic(http.ErrAbortHandler)
@@ -121,7 +121,7 @@
 				panic(http.ErrAbortHandler)
 			}
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"model\":%q,\"choices\":[{\"index\":0,\"text\":%q}]}\n\n",
-				sent+1, g.id, g.answered, g.text(sent, sent+1))
+				sent+1, g.id, g.responseModel, g.text(sent, sent+1))
 		}
 		flusher.Flush()
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, b, err
 	}
-	// The tag covers the prompt alone, which nobody on the path changes.
+	// The tag covers only the prompt, because no process on the path changes it.
 	var prompt struct {
 		Messages json.RawMessage `json:"messages"`
 		Prompt   json.RawMessage `json:"prompt"`
@@ -145,7 +145,7 @@
 	return append(prompt.Messages, prompt.Prompt...), b, json.Unmarshal(raw, &b)
 }
 
-// stepLoop gives one token to each request of the batch at each step.
+// stepLoop generates one token for each request of the batch in each step.
 func (e *Engine) stepLoop(ctx context.Context) {
 	t := time.NewTicker(e.options.Step)
 	defer t.Stop()
@@ -171,8 +171,8 @@
 	if len(e.running) == 0 {
 		return
 	}
-	e.StepsTaken.Add(1)
-	e.StepSlots.Add(int64(len(e.running)))
+	e.Steps.Add(1)
+	e.BatchedRequests.Add(int64(len(e.running)))
 	for id, g := range e.running {
 		if g.advance(1) {
 			delete(e.running, id)
@@ -181,15 +181,15 @@
 			}
 		}
 	}
-	if len(e.streams) > keepStreams {
-		e.forgetEnded()
+	if len(e.streams) > maxStreams {
+		e.dropFinished()
 	}
 }
 
-// forgetEnded drops generations that are not running. The caller holds mu.
-func (e *Engine) forgetEnded() {
+// dropFinished drops finished and aborted generations. The caller holds mu.
+func (e *Engine) dropFinished() {
 	for id, g := range e.streams {
-		if ready, dead, _ := g.state(); dead || ready == g.total {
+		if ready, aborted, _ := g.state(); aborted || ready == g.totalTokens {
 			delete(e.streams, id)
 		}
 	}
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -15,10 +15,10 @@
 	"sandbarrow.example/sandbarrow/store"
 )
 
-// watchLimit is the longest wait of one watch call.
+// watchLimit is the maximum duration of one watch call.
 const watchLimit = 10 * time.Second
 
-// KVLimits are the call rates that a KV bears, per second; 0 is unlimited.
+// KVLimits are the maximum call rates of a KV per second; 0 is unlimited.
 type KVLimits struct {
 	Reads, Writes float64
 }
@@ -26,47 +26,47 @@
 // KV is a stand-in for the platform's key-value service.
 type KV struct {
 	faultSwitch
-	// Reads and Writes count calls; a watch is a read.
+	// Reads and Writes count calls; a watch counts as a read.
 	Reads, Writes atomic.Int64
 	handler       http.Handler
 	readLimit     *rate.Limiter
 	store         *store.Memory
-	// copied is the state that the fault Restore restores.
-	copied     store.MemoryCopy
+	// snapshot is the state that Faults.Restore restores.
+	snapshot   store.MemoryCopy
 	writeLimit *rate.Limiter
 }
 
 // NewKV returns an empty KV.
 func NewKV(l KVLimits) *KV {
-	k := &KV{readLimit: limiter(l.Reads), store: store.NewMemory(), writeLimit: limiter(l.Writes)}
+	k := &KV{readLimit: newLimiter(l.Reads), store: store.NewMemory(), writeLimit: newLimiter(l.Writes)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv/{key...}", k.serveGet)
-	mux.HandleFunc("PUT /kv/{key...}", k.write(k.servePut))
-	mux.HandleFunc("POST /leases", k.write(k.serveGrant))
-	mux.HandleFunc("PUT /leases/{id}", k.write(func(w http.ResponseWriter, r *http.Request) {
-		_, err := k.store.RenewLease(r.Context(), k.lease(r.PathValue("id")))
+	mux.HandleFunc("PUT /kv/{key...}", k.limitWrite(k.servePut))
+	mux.HandleFunc("POST /leases", k.limitWrite(k.serveGrant))
+	mux.HandleFunc("PUT /leases/{id}", k.limitWrite(func(w http.ResponseWriter, r *http.Request) {
+		_, err := k.store.RenewLease(r.Context(), k.leaseID(r.PathValue("id")))
 		k.writeStatus(w, err)
 	}))
-	mux.HandleFunc("DELETE /leases/{id}", k.write(func(w http.ResponseWriter, r *http.Request) {
-		k.writeStatus(w, k.store.RevokeLease(r.Context(), k.lease(r.PathValue("id"))))
+	mux.HandleFunc("DELETE /leases/{id}", k.limitWrite(func(w http.ResponseWriter, r *http.Request) {
+		k.writeStatus(w, k.store.RevokeLease(r.Context(), k.leaseID(r.PathValue("id"))))
 	}))
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, map[string]int64{"reads": k.Reads.Load(), "writes": k.Writes.Load()})
 	})
-	k.copied = k.store.Copy()
+	k.snapshot = k.store.Copy()
 	k.onSet = func(f Faults) {
 		if f.Restore {
-			k.store.Restore(k.copied)
+			k.store.Restore(k.snapshot)
 		}
 		if f.Copy {
-			k.copied = k.store.Copy()
+			k.snapshot = k.store.Copy()
 		}
 	}
 	k.handler = k.wrap(mux)
 	return k
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -76,8 +76,8 @@
 // ServeHTTP serves the key-value protocol.
 func (k *KV) ServeHTTP(w http.ResponseWriter, r *http.Request) { k.handler.ServeHTTP(w, r) }
 
-// write counts a write and holds it to the rate.
-func (k *KV) write(next http.HandlerFunc) http.HandlerFunc {
+// limitWrite counts a write and rejects it if it exceeds the write rate.
+func (k *KV) limitWrite(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		k.Writes.Add(1)
 		if !k.writeLimit.Allow() {
@@ -97,7 +97,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	era, err := strconv.ParseUint(r.URL.Query().Get("era"), 10, 64)
 	if err != nil {
-		era = uint64(k.store.Era()) // the caller sends no era
+		era = uint64(k.store.Era()) // the client sent no era
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(wait)*time.Millisecond, watchLimit))
@@ -125,8 +125,8 @@
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	lease := k.lease(r.URL.Query().Get("lease"))
-	revision, err := k.store.CompareAndSwap(r.Context(), r.PathValue("key"), k.revision(previous), value, lease)
+	leaseID := k.leaseID(r.URL.Query().Get("lease"))
+	revision, err := k.store.CompareAndSwap(r.Context(), r.PathValue("key"), k.revision(previous), value, leaseID)
 	if err != nil {
 		k.writeStatus(w, err)
 		return
@@ -149,13 +149,13 @@
 	writeJSON(w, http.StatusOK, map[string]string{"id": id.Name()})
 }
 
-// revision returns the revision with a number in the current era.
+// revision returns the revision with this number in the current era.
 func (k *KV) revision(number uint64) sandbarrow.StoreRevision {
 	return sandbarrow.NewStoreRevision(k.store.Era(), number)
 }
 
-// lease returns the id of a lease name in the current era, or "" for an empty name.
-func (k *KV) lease(name string) sandbarrow.LeaseID {
+// leaseID returns the id of a lease name in the current era, or "" for an empty name.
+func (k *KV) leaseID(name string) sandbarrow.LeaseID {
 	return sandbarrow.NewLeaseID(k.store.Era(), name)
 }
 
--- a/standin/runlog.go
+++ b/standin/runlog.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Run is one run of a request.
+// Run is one execution of a request.
 type Run struct {
 	Model   string `json:"model,omitempty"`
 	Path    string `json:"path"`
@@ -13,17 +13,17 @@
 	Tag     string `json:"tag"`
 }
 
-// OrderRecord is one load or unload, with the running requests it met.
+// OrderRecord is one load or unload, with the number of requests that its model had at that time.
 type OrderRecord struct {
 	Model   string `json:"model"`
 	Running int    `json:"running"`
 	Unload  bool   `json:"unload"`
 }
 
-// Log is what an upstream has done.
+// Log holds the orders and runs of a stand-in upstream.
 type Log struct {
 	Orders []OrderRecord `json:"orders"`
-	// Refused counts the runs that were refused with when to come back.
+	// Refused counts the runs that were rejected with a backoff notice.
 	Refused int   `json:"refused"`
 	Runs    []Run `json:"runs"`
 }
--- a/standin/weightstore.go
+++ b/standin/weightstore.go
@@ -8,13 +8,13 @@
 	"golang.org/x/time/rate"
 )
 
-// WeightLimits describe a WeightStore.
+// WeightLimits are the speed and the rate limit of a WeightStore.
 type WeightLimits struct {
-	// Load is the time of one load at full speed.
+	// Load is the duration of one load at full speed.
 	Load time.Duration
-	// Parallel is the number of loads at once at full speed.
+	// Parallel is the maximum number of concurrent loads at full speed; more slow each other down.
 	Parallel int
-	// PerSecond is the rate of loads, above which calls get 429.
+	// PerSecond is the maximum rate of loads; calls above it get status 429.
 	PerSecond float64
 }
 
@@ -27,9 +27,9 @@
 	limits  WeightLimits
 }
 
-// NewWeightStore returns a weight store that holds every name.
+// NewWeightStore returns a weight store that has weights under every name.
 func NewWeightStore(l WeightLimits) *WeightStore {
-	s := &WeightStore{limits: l, limit: limiter(l.PerSecond)}
+	s := &WeightStore{limits: l, limit: newLimiter(l.PerSecond)}
 	s.handler = s.wrap(http.HandlerFunc(s.serve))
 	return s
 }
--- a/workload/estate.go
+++ b/workload/estate.go
@@ -1,4 +1,4 @@
-// Package workload generates the requests of the users' estates from a seed.
+// Package workload generates the request traces of the users' estates from a seed.
 package workload
 
 import (
@@ -7,41 +7,41 @@
 	"sandbarrow.example/sandbarrow"
 )
 
-// ClassMix is one class of callers and its part of the traffic.
+// ClassMix is one class of callers and its share of the traffic.
 type ClassMix struct {
 	Class       sandbarrow.CallerClass
 	NoBatchWait bool
 	Priority    int
-	// Share is the class's part of all requests.
+	// Share is the class's share of all requests, from 0 to 1.
 	Share float64
-	// Tokens is the mean length of an answer.
+	// Tokens is the mean length of a response.
 	Tokens int
 }
 
-// Estate describes one user's estate at its size of today.
+// Estate describes one user's estate at its current size.
 type Estate struct {
 	Adapters    int
 	BaseModels  int
 	BatchWeight float64
 	Classes     []ClassMix
-	// Deadline is what callers wait at most.
+	// Deadline is the maximum time that callers wait.
 	Deadline time.Duration
 	Domains  int
-	// Load is the time of one adapter load at full speed.
+	// LoadTime is the duration of one adapter load at full speed.
 	Load           time.Duration
 	LoadsPerSecond float64
 	MaxRunning     int
 	Name           string
 	ParallelLoads  int
-	// RequestsPerSecond is the traffic of an ordinary hour.
+	// RequestsPerSecond is the request rate in an ordinary hour.
 	RequestsPerSecond float64
 	Runners           int
 	Slots             int
-	// Step is the time of one engine step, which gives each request a token.
+	// StepTime is the duration of one engine step, which generates a token for each running request.
 	Step time.Duration
 }
 
-// Address is the address look-up estate.
+// Address returns the address look-up estate.
 func Address() Estate {
 	return Estate{
 		Adapters: 5000, BaseModels: 2, Domains: 3, Runners: 9, Name: "address",
@@ -56,7 +56,7 @@
 	}
 }
 
-// Registre is the company register estate.
+// Registre returns the company register estate.
 func Registre() Estate {
 	return Estate{
 		Adapters: 5000, BaseModels: 2, Domains: 4, Runners: 18, Name: "registre",
--- a/workload/trace.go
+++ b/workload/trace.go
@@ -24,74 +24,75 @@
 type Options struct {
 	Duration time.Duration
 	Seed     uint64
-	// Skew is the exponent of the Zipf popularity.
+	// Skew is the exponent of the Zipf distribution of adapter popularity.
 	Skew float64
-	// WakeShare of the adapters changes places in popularity within an hour.
+	// ChurnShare is the number of swaps of two adapters' popularity per hour, relative to the number of
+	// adapters.
 	WakeShare float64
 }
 
-// minTokens is the length of the shortest answer.
+// minTokens is the minimum length of a response.
 const minTokens = 4
 
 // generator holds the state of one trace.
 type generator struct {
 	cumulative []float64
 	estate     *Estate
-	order      []int // the adapter at each rank of popularity
+	ranking    []int // the adapter at each popularity rank
 	rand       *rand.Rand
 }
 
-// Trace returns the requests of an estate, in order of time. The same options
-// give the same trace.
+// Trace returns the requests of an estate in chronological order. The same options give the same
+// trace.
 func Trace(e *Estate, o Options) []Request {
 	g := &generator{
 		cumulative: zipf(e.Adapters, o.Skew),
 		estate:     e,
-		order:      make([]int, e.Adapters),
+		ranking:    make([]int, e.Adapters),
 		rand:       rand.New(rand.NewPCG(o.Seed, uint64(len(e.Name)))),
 	}
-	for i := range g.order {
-		g.order[i] = i
+	for i := range g.ranking {
+		g.ranking[i] = i
 	}
 	g.shuffle()
-	swaps := o.WakeShare * float64(e.Adapters) / time.Hour.Seconds() / e.RequestsPerSecond
+	swapChance := o.WakeShare * float64(e.Adapters) / time.Hour.Seconds() / e.RequestsPerSecond
 	var requests []Request
 	for at := time.Duration(0); ; {
 		at += time.Duration(g.rand.ExpFloat64() / e.RequestsPerSecond * float64(time.Second))
 		if at >= o.Duration {
 			return requests
 		}
-		if g.rand.Float64() < swaps {
-			g.swap()
+		if g.rand.Float64() < swapChance {
+			g.swapRanks()
 		}
-		requests = append(requests, g.request(at))
+		requests = append(requests, g.newRequest(at))
 	}
 }
 
-// AdapterName is the name of an estate's adapter by number.
+// AdapterName returns the name of adapter number i of an estate.
 func AdapterName(estate string, i int) sandbarrow.AdapterID {
 	return sandbarrow.AdapterID(estate + "-" + strconv.Itoa(i))
 }
 
-// BaseModelOf is the base model of an adapter by number.
+// BaseModelOf returns the base model of adapter number i.
 func (e *Estate) BaseModelOf(i int) sandbarrow.BaseModelID {
 	return sandbarrow.BaseModelID("base-" + strconv.Itoa(i%e.BaseModels))
 }
 
-func (g *generator) request(at time.Duration) Request {
+func (g *generator) newRequest(at time.Duration) Request {
 	rank := sort.SearchFloat64s(g.cumulative, g.rand.Float64())
-	adapter := g.order[min(rank, len(g.order)-1)]
-	class := g.class()
+	adapter := g.ranking[min(rank, len(g.ranking)-1)]
+	callerClass := g.callerClass()
 	return Request{
 		Adapter:   AdapterName(g.estate.Name, adapter),
 		At:        at,
 		BaseModel: g.estate.BaseModelOf(adapter),
-		Class:     class,
-		Tokens:    max(minTokens, int(g.rand.ExpFloat64()*float64(class.Tokens))),
+		Class:     callerClass,
+		Tokens:    max(minTokens, int(g.rand.ExpFloat64()*float64(callerClass.Tokens))),
 	}
 }
 
-func (g *generator) class() *ClassMix {
+func (g *generator) callerClass() *ClassMix {
 	x := g.rand.Float64()
 	for i := range g.estate.Classes {
 		x -= g.estate.Classes[i].Share
@@ -103,16 +104,16 @@
 }
 
 func (g *generator) shuffle() {
-	g.rand.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
+	g.rand.Shuffle(len(g.ranking), func(i, j int) { g.ranking[i], g.ranking[j] = g.ranking[j], g.ranking[i] })
 }
 
-// swap wakes one adapter and lets another fall idle.
-func (g *generator) swap() {
-	i, j := g.rand.IntN(len(g.order)), g.rand.IntN(len(g.order))
-	g.order[i], g.order[j] = g.order[j], g.order[i]
+// swapRanks swaps the popularity ranks of two random adapters.
+func (g *generator) swapRanks() {
+	i, j := g.rand.IntN(len(g.ranking)), g.rand.IntN(len(g.ranking))
+	g.ranking[i], g.ranking[j] = g.ranking[j], g.ranking[i]
 }
 
-// zipf returns the cumulative popularity of n ranks.
+// zipf returns the cumulative Zipf distribution over n ranks.
 func zipf(n int, skew float64) []float64 {
 	cumulative := make([]float64, n)
 	sum := 0.0
