--- a/claim/storeclaimer_test.go
+++ b/claim/storeclaimer_test.go
@@ -67,7 +67,7 @@
 	assert.NilError(t, err)
 	second := sandbarrow.Claim{Attempt: 2, Token: "second"}
 	assert.NilError(t, s.Start(ctx, id, second))
-	fault = storetest.Down
+	fault = storetest.Unavailable
 	assert.Assert(t, s.Release(ctx, id, second) != nil)
 	fault = storetest.None
 	err = s.Start(ctx, id, sandbarrow.Claim{Attempt: 1, Token: "late"})
--- a/config/document.go
+++ b/config/document.go
@@ -78,8 +78,8 @@
 // Service is a plain service under a path prefix.
 type Service struct {
 	ID sandbarrow.ServiceID `json:"id"`
-	// Once says that no call of the service may be repeated.
-	Once   bool   `json:"once"`
+	// AtMostOnce says that no call of the service may be repeated.
+	AtMostOnce   bool   `json:"once"`
 	Prefix string `json:"prefix"`
 }
 
--- a/config/view.go
+++ b/config/view.go
@@ -26,7 +26,7 @@
 	BaseModel sandbarrow.BaseModelID
 	Class     *Class
 	Model     sandbarrow.ModelRef
-	Once      bool
+	AtMostOnce      bool
 	Policy    sandbarrow.PolicyID
 	Priority  int
 	Weights   string
@@ -128,7 +128,7 @@
 }
 
 func (v *View) run(p *policy.Policy, r *policy.Request, a *Adapter, class *Class, asked string, pinned bool) (Resolution, error) {
-	once, err := p.Once(r)
+	once, err := p.AtMostOnce(r)
 	if err != nil {
 		return Resolution{}, err
 	}
@@ -149,7 +149,7 @@
 				BaseModel: a.BaseModel,
 				Class:     class,
 				Model:     sandbarrow.ModelRef{Adapter: a.ID, Version: version},
-				Once:      once,
+				AtMostOnce:      once,
 				Policy:    a.Policy,
 				Priority:  priority,
 				Weights:   candidate.Weights,
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -72,7 +72,7 @@
 		},
 		stream: newAnswerStream(),
 	}
-	if resolved.Once {
+	if resolved.AtMostOnce {
 		j.attempt.OnceID = r.onceID()
 	}
 	r.ctx.Response.Header.Set(headerModel, resolved.Model.String())
@@ -122,7 +122,7 @@
 		route:    sandbarrow.RouteRequest{Service: s.ID, Hash: xxhash.Sum64String(string(r.onceID()))},
 		stream:   newAnswerStream(),
 	}
-	if s.Once || r.marked {
+	if s.AtMostOnce || r.marked {
 		j.attempt.OnceID = r.onceID()
 	}
 	e.answer(r, j)
--- a/estate/estate.go
+++ b/estate/estate.go
@@ -42,8 +42,8 @@
 
 // View is an immutable state of the estate.
 type View struct {
-	// At is when the table came into force here.
-	At time.Time
+	// InForceSince is when the table came into force here.
+	InForceSince time.Time
 	// Revision is the store's revision of the table.
 	Revision sandbarrow.StoreRevision
 	Table    *route.Table
@@ -278,7 +278,7 @@
 		e.confirmation.invalidate(e.mark)
 	}
 	if sameEra || table.Version > next.Table.Version {
-		next.At = time.Now()
+		next.InForceSince = time.Now()
 	}
 	next.Table, next.Revision = table, it.Revision
 	e.logger.Info("configuration in force", "version", table.Version, "revision", it.Revision, "from", string(from))
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -39,8 +39,8 @@
 	Target string
 }
 
-// Answer is an answer whose head has been read.
-type Answer struct {
+// Response is an answer whose head has been read.
+type Response struct {
 	Header http.Header
 	Status int
 
@@ -56,7 +56,7 @@
 // Send gives a request to the upstream and reads the head of its answer. The
 // answer must be closed. When ctx ends, the connection is closed. The error is
 // ErrNotSent or ErrBroken.
-func (p *Pool) Send(ctx context.Context, r *Request) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.get(ctx)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 		return nil, errors.Annotate(ErrNotSent, "withheld")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	a := &Answer{conn: c, pool: p, release: stop}
+	a := &Response{conn: c, pool: p, release: stop}
 	if err := a.write(r); err != nil {
 		a.Close()
 		return nil, errors.Annotate(ErrBroken, err.Error())
@@ -78,7 +78,7 @@
 	return a, nil
 }
 
-func (a *Answer) write(r *Request) error {
+func (a *Response) write(r *Request) error {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	_ = r.Header.Write(&b) // a Buffer never fails
@@ -101,7 +101,7 @@
 
 // readHead reads heads until one carries the request's id. An answer to
 // another request, late on this connection, is skipped.
-func (a *Answer) readHead(r *Request) error {
+func (a *Response) readHead(r *Request) error {
 	for range maxSurplus + 1 {
 		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
@@ -126,7 +126,7 @@
 }
 
 // Body reads the whole body, of at most limit bytes.
-func (a *Answer) Body(limit int) ([]byte, error) {
+func (a *Response) Body(limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.body, int64(limit)+1))
 	if err != nil {
 		return nil, errors.Annotate(ErrBroken, err.Error())
@@ -140,7 +140,7 @@
 
 // Event reads one complete event of a stream, with the empty line that ends it.
 // io.EOF means that the stream is complete.
-func (a *Answer) Event() ([]byte, error) {
+func (a *Response) Event() ([]byte, error) {
 	var event []byte
 	for {
 		line, err := a.body.ReadSlice('\n')
@@ -176,7 +176,7 @@
 
 // Close gives the connection back if the answer was read to its end and nothing
 // else is under way on it; else it closes the connection.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	stopped := a.release()
 	if a.whole && stopped && a.wasWritten() && !a.resp.Close && a.conn.reader.Buffered() == 0 {
 		a.pool.put(a.conn, idleTime(a.Header))
@@ -186,7 +186,7 @@
 }
 
 // wasWritten reports whether the upstream has taken the whole request.
-func (a *Answer) wasWritten() bool {
+func (a *Response) wasWritten() bool {
 	if a.written == nil {
 		return true
 	}
--- a/gateway/callend.go
+++ b/gateway/callend.go
@@ -49,7 +49,7 @@
 
 // completeResponse is a response whose body has been read to the end.
 type completeResponse struct {
-	response *forward.Answer
+	response *forward.Response
 	body     []byte
 }
 
@@ -63,7 +63,7 @@
 }
 
 // copyHeader copies the header of an upstream's response to the caller's response.
-func (c *call) copyHeader(a *forward.Answer) {
+func (c *call) copyHeader(a *forward.Response) {
 	h := c.writer.Header()
 	for name, values := range withoutHopByHop(a.Header) {
 		h[name] = values
--- a/gateway/calllog.go
+++ b/gateway/calllog.go
@@ -58,7 +58,7 @@
 	}
 	attrs = append(attrs, c.crashAttributes()...)
 	if c.view != nil {
-		attrs = append(attrs, slog.Uint64("config", c.view.Table.Version), slog.Int64("config_age_ms", time.Since(c.view.At).Milliseconds()))
+		attrs = append(attrs, slog.Uint64("config", c.view.Table.Version), slog.Int64("config_age_ms", time.Since(c.view.InForceSince).Milliseconds()))
 		attrs = append(attrs, c.gateway.trustAttributes()...)
 	}
 	if c.route != nil {
--- a/internal/demo/document.go
+++ b/internal/demo/document.go
@@ -43,7 +43,7 @@
 			{ID: "address", Source: policy.Source{Version: "percent < " + strconv.Itoa(rolloutPercent) + " ? 'v2' : 'v1'"}},
 			{ID: "registre", Source: policy.Source{Version: "'v1'"}},
 		},
-		Services: []config.Service{{ID: receiptService, Once: true, Prefix: servicePath}},
+		Services: []config.Service{{ID: receiptService, AtMostOnce: true, Prefix: servicePath}},
 		Weights:  config.Weights{BatchEfficiency: 0.3},
 	}
 	for _, e := range estates() {
--- a/internal/storetest/faultystore.go
+++ b/internal/storetest/faultystore.go
@@ -16,8 +16,8 @@
 const (
 	// None lets the call through.
 	None Fault = iota
-	// Down refuses the call; nothing takes effect.
-	Down
+	// Unavailable refuses the call; nothing takes effect.
+	Unavailable
 	// Lost lets the call take effect and loses its reply.
 	Lost
 	// Swallowed loses the call; the caller can't tell it from Lost.
@@ -69,7 +69,7 @@
 func with[T any](s *Store, call func() (T, error)) (T, error) {
 	var zero T
 	switch s.Next() {
-	case Down:
+	case Unavailable:
 		return zero, sandbarrow.ErrStoreUnavailable
 	case Lost:
 		_, _ = call()
--- a/internal/systest/document_test.go
+++ b/internal/systest/document_test.go
@@ -23,7 +23,7 @@
 		Callers:    []config.Caller{{Class: "desk", ID: "desk-1", KeySHA256: sandbarrow.DigestOf([]byte(callerKey))}},
 		Classes:    []config.Class{{ID: "desk"}},
 		Policies:   []config.Policy{{ID: "p", Source: policy.Source{Version: fmt.Sprintf("'%s'", version)}}},
-		Services:   []config.Service{{ID: "receipts", Once: true, Prefix: "/receipts/"}},
+		Services:   []config.Service{{ID: "receipts", AtMostOnce: true, Prefix: "/receipts/"}},
 	}
 	for _, e := range estates() {
 		addEstate(d, &e)
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -60,7 +60,7 @@
 	assert.NilError(t, h.Step(context.Background()))
 	held := h.Check()
 	assert.Equal(t, held.State, Held)
-	next = storetest.Down
+	next = storetest.Unavailable
 	now = now.Add(ttl)
 	assert.Equal(t, h.Check().State, Lost, "expired, before the next call to the store")
 	assert.Assert(t, h.Step(context.Background()) != nil)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -23,8 +23,8 @@
 
 // Source is the source text of a policy. Each field is a CEL expression.
 type Source struct {
-	// Once says whether a request must run at most once: bool; default false.
-	Once string `json:"once,omitempty"`
+	// AtMostOnce says whether a request must run at most once: bool; default false.
+	AtMostOnce string `json:"once,omitempty"`
 	// Place says whether an upstream may run the adapter: bool; default true.
 	Place string `json:"place,omitempty"`
 	// Priority of a request: int, 0 is the most urgent; default the class's.
@@ -73,7 +73,7 @@
 		result *cel.Type
 		text   string
 	}{
-		{request, &p.once, "once", cel.BoolType, s.Once},
+		{request, &p.once, "once", cel.BoolType, s.AtMostOnce},
 		{upstream, &p.place, "place", cel.BoolType, s.Place},
 		{request, &p.priority, "priority", cel.IntType, s.Priority},
 		{request, &p.version, "version", cel.StringType, s.Version},
@@ -142,8 +142,8 @@
 	return &checker.SizeEstimate{Min: 0, Max: maxListSize}
 }
 
-// Once reports whether a request must run at most once.
-func (p *Policy) Once(r *Request) (bool, error) {
+// AtMostOnce reports whether a request must run at most once.
+func (p *Policy) AtMostOnce(r *Request) (bool, error) {
 	if p.once == nil {
 		return r.MarkedAtMostOnce, nil
 	}
--- a/quota/leader/leader_test.go
+++ b/quota/leader/leader_test.go
@@ -183,7 +183,7 @@
 	var disconnected atomic.Bool
 	first, stopFirst := startWith(t, memory, &storetest.Store{Below: memory, Next: func() storetest.Fault {
 		if disconnected.Load() {
-			return storetest.Down
+			return storetest.Unavailable
 		}
 		return storetest.None
 	}}, "box-1")
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,7 +15,7 @@
 
 // EngineOptions configure an Engine.
 type EngineOptions struct {
-	// Notices writes the engine's drain, backoff and limit notices into responses.
+	// UpstreamNotices writes the engine's drain, backoff and limit notices into responses.
 	Announcements sandbarrow.NoticeWriter
 	// ChecksToken rejects orders that carry an older fencing token.
 	ChecksToken bool
