--- a/agent/admissions_test.go
+++ b/agent/admissions_test.go
@@ -16,12 +16,12 @@
 // limitHeader returns a response header that names a limit.
 func limitHeader(limit string) http.Header {
 	h := http.Header{}
-	platform.Announcements{}.Write(h, sandbarrow.RawNotice{Limit: limit})
+	platform.UpstreamNotices{}.Write(h, sandbarrow.RawNotice{Limit: limit})
 	return h
 }
 
 func TestAdmissionsApplyNamedLimit(t *testing.T) {
-	l := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
+	l := newAdmissions("u", platform.UpstreamNotices{}, slog.New(slog.DiscardHandler))
 	admit := func() bool { return l.admit(boottime.Now(), false).refusal == nil }
 	assert.Assert(t, admit(), "no limit is named")
 	before := boottime.Now()
@@ -44,12 +44,12 @@
 }
 
 func TestAdmissionsApplyNotices(t *testing.T) {
-	a := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
+	a := newAdmissions("u", platform.UpstreamNotices{}, slog.New(slog.DiscardHandler))
 	drainStarted := 0
 	a.drainStarted = func() { drainStarted++ }
 	respond := func(status int, notice sandbarrow.RawNotice) {
 		h := http.Header{}
-		platform.Announcements{}.Write(h, notice)
+		platform.UpstreamNotices{}.Write(h, notice)
 		a.ResponseReceived(boottime.Now(), status, h)
 	}
 	respond(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "soon", Limit: "-1"})
--- a/agent/exits.go
+++ b/agent/exits.go
@@ -100,5 +100,5 @@
 // does not count as a refusal.
 func refusesConnections(ctx context.Context, base string) bool {
 	u, err := url.Parse(base)
-	return err == nil && listening.Dial(ctx, u.Host, exitDialTimeout) == listening.Refuses
+	return err == nil && listening.Dial(ctx, u.Host, exitDialTimeout) == listening.Refused
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,8 +60,8 @@
 
 // Config is the configuration of a Gateway.
 type Config struct {
-	// Announcements reads the notices of upstreams in their responses.
-	Announcements sandbarrow.NoticeReader
+	// UpstreamNotices reads the notices of upstreams in their responses.
+	UpstreamNotices sandbarrow.NoticeReader
 	// AcceptAfterStop is how long a stopping gateway accepts new connections.
 	AcceptAfterStop time.Duration
 	// ControllerPort is the port of the controller on an engine's box.
@@ -71,8 +71,8 @@
 	Box            sandbarrow.BoxID
 	Headers        sandbarrow.HeaderNames
 	Instances      sandbarrow.InstanceList
-	// LeaveBound is the time after which a draining upstream must get no new requests.
-	LeaveBound time.Duration
+	// DrainBound is the time after which a draining upstream must get no new requests.
+	DrainBound time.Duration
 	Logger     *slog.Logger
 	Metrics    prometheus.Registerer
 	// PeerAddress is the address of this gateway for its peers.
--- a/gateway/listwatch.go
+++ b/gateway/listwatch.go
@@ -24,7 +24,7 @@
 func (g *Gateway) listWatch() *prefixwatch.Watch {
 	return &prefixwatch.Watch{
 		Age: g.directory.Age, Busy: true, Consumer: sharedList{g}, Expecting: g.expectsUpstreams, Logger: g.logger, Watermark: g.directory.Watermark,
-		MinInterval: time.Duration(listShare * float64(g.config.LeaveBound)), Prefix: g.config.Instances.Prefix(), ProcessCount: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
+		MinInterval: time.Duration(listShare * float64(g.config.DrainBound)), Prefix: g.config.Instances.Prefix(), ProcessCount: g.engines.gateways, Store: g.config.Store, Wait: prefixwatch.DefaultWait,
 	}
 }
 
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -125,9 +125,9 @@
 	until := began.Add(probeWindow)
 	var evidence availability.ExitEvidence
 	switch listening.Dial(ctx, p.instance.Address, forward.DialTimeout) {
-	case listening.Listens:
+	case listening.Accepted:
 		until = began.Add(aliveWindow)
-	case listening.Refuses:
+	case listening.Refused:
 		evidence = availability.ExitRefused
 	}
 	d.conclude(p, evidence)
--- a/internal/cmd/democmd.go
+++ b/internal/cmd/democmd.go
@@ -39,7 +39,7 @@
 			failed++
 		}
 		if !c.Quiet || r.Fault != "" {
-			fmt.Fprintf(c.out.stdout, "%-8s %-9s %-24s %5d ms  %s\n", r.Class, r.Kind, r.Model, r.Took.Milliseconds(), r.Fault)
+			fmt.Fprintf(c.out.stdout, "%-8s %-9s %-24s %5d ms  %s\n", r.Class, r.Kind, r.Model, r.Latency.Milliseconds(), r.Fault)
 		}
 	}
 	c.printSummary(responses, d.Totals())
@@ -64,10 +64,10 @@
 }
 
 // printSummary prints response times, loads, batch efficiency and calls to the store.
-func (c *demoCmd) printSummary(responses []demo.Answer, t demo.Totals) {
+func (c *demoCmd) printSummary(responses []demo.Response, t demo.Totals) {
 	times := make([]time.Duration, len(responses))
 	for i, r := range responses {
-		times[i] = r.Took
+		times[i] = r.Latency
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	fmt.Fprintf(c.out.stdout, "\nresponses %d, adapter loads %d, unloads %d\n", len(responses), t.Loads, t.Unloads)
@@ -75,6 +75,6 @@
 		fmt.Fprintf(c.out.stdout, "response time: median %d ms, 99th percentile %d ms\n",
 			times[len(times)/2].Milliseconds(), times[len(times)*99/100].Milliseconds())
 	}
-	fmt.Fprintf(c.out.stdout, "batch efficiency: %.2f requests a step\n", t.PerStep)
+	fmt.Fprintf(c.out.stdout, "batch efficiency: %.2f requests a step\n", t.RequestsPerStep)
 	fmt.Fprintf(c.out.stdout, "platform store: %d reads, %d writes\n", t.StoreReads, t.StoreWrites)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -51,7 +51,7 @@
 type Totals struct {
 	Loads, Unloads int
 	// RequestsPerStep is the mean number of requests in one engine step.
-	PerStep                 float64
+	RequestsPerStep         float64
 	StoreReads, StoreWrites int64
 }
 
@@ -65,7 +65,7 @@
 		cancel:  cancel,
 		group:   group,
 		kv:      standin.NewKV(standin.KVLimits{Reads: 2000, Writes: 300}),
-		service: standin.NewPlainService(2*time.Millisecond, platform.Announcements{}),
+		service: standin.NewPlainService(2*time.Millisecond, platform.UpstreamNotices{}),
 	}
 	if err := d.start(ctx); err != nil {
 		d.Stop()
@@ -156,7 +156,7 @@
 		Listen:   settings.Listen{HTTP: loopback, RPC: loopback},
 		Platform: p,
 	}
-	a, err := agent.New(s, platform.Announcements{}, discardLogger(), prometheus.NewRegistry())
+	a, err := agent.New(s, platform.UpstreamNotices{}, discardLogger(), prometheus.NewRegistry())
 	if err != nil {
 		return err
 	}
@@ -233,7 +233,7 @@
 		requests += e.BatchedRequests.Load()
 	}
 	if steps > 0 {
-		t.PerStep = float64(requests) / float64(steps)
+		t.RequestsPerStep = float64(requests) / float64(steps)
 	}
 	return t
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -20,7 +20,7 @@
 		assert.Equal(t, r.Fault, "", "%s %s %s", r.Class, r.Kind, r.Model)
 	}
 	totals := d.Totals()
-	assert.Assert(t, totals.Loads > 0 && totals.PerStep > 0)
+	assert.Assert(t, totals.Loads > 0 && totals.RequestsPerStep > 0)
 	report, err := d.Report(ctx)
 	assert.NilError(t, err)
 	assert.Assert(t, len(report.Rows) >= 6)
--- a/internal/demo/drive.go
+++ b/internal/demo/drive.go
@@ -27,19 +27,19 @@
 )
 
 // Response is one response as its caller received it.
-type Answer struct {
+type Response struct {
 	Class sandbarrow.CallerClass
 	// Fault is empty if the response was complete and correct.
-	Fault string
-	Kind  string
-	Model string
-	Took  time.Duration
+	Fault   string
+	Kind    string
+	Model   string
+	Latency time.Duration
 }
 
 // Drive sends the requests of both estates and checks each response. One in ten is an at-most-once
 // call of the plain service; a third of the others are streamed.
-func (d *Demo) Drive(ctx context.Context) []Answer {
-	var responses []Answer
+func (d *Demo) Drive(ctx context.Context) []Response {
+	var responses []Response
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, e := range estates() {
@@ -68,9 +68,9 @@
 	}
 }
 
-func (d *Demo) send(ctx context.Context, i int, r workload.Request) Answer {
+func (d *Demo) send(ctx context.Context, i int, r workload.Request) Response {
 	url := "http://" + d.entries[i%len(d.entries)].Address()
-	response := Answer{Class: r.Class.Class, Kind: "answer"}
+	response := Response{Class: r.Class.Class, Kind: "answer"}
 	start := time.Now()
 	var err error
 	prompt := fmt.Sprintf("%s %s %d", r.Adapter, r.Class.Class, i)
@@ -81,7 +81,7 @@
 	default:
 		err = requestCompletion(ctx, url, prompt, r, i%streamInterval == 0, &response)
 	}
-	response.Took = time.Since(start)
+	response.Latency = time.Since(start)
 	if err != nil {
 		response.Fault = err.Error()
 	}
@@ -94,7 +94,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-func (d *Demo) requestReceipt(ctx context.Context, url, content string, response *Answer) error {
+func (d *Demo) requestReceipt(ctx context.Context, url, content string, response *Response) error {
 	body, _, err := post(ctx, url+servicePath+"new", []byte(content), response.Class)
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func requestCompletion(ctx context.Context, url, prompt string, r workload.Request, stream bool, response *Answer) error {
+func requestCompletion(ctx context.Context, url, prompt string, r workload.Request, stream bool, response *Response) error {
 	quoted, err := json.Marshal(prompt)
 	if err != nil {
 		return err
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -75,7 +75,7 @@
 // CloseHungConnections closes the client's idle connections if a call got no response before the
 // deadline of its ctx. If one connection hangs without a reset, the idle ones may hang as well. The
 // next call would then wait on one of them for as long again.
-func LeaveSilent(ctx context.Context, client *http.Client) {
+func CloseHungConnections(ctx context.Context, client *http.Client) {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		client.CloseIdleConnections()
 	}
--- a/internal/listening/listening.go
+++ b/internal/listening/listening.go
@@ -18,9 +18,9 @@
 	// Unknown means that the dial got no reply. A process may or may not listen there.
 	Unknown State = iota
 	// Accepted means that the connection was accepted: a process listens there.
-	Listens
+	Accepted
 	// Refused means that the connection was refused: no process listens there.
-	Refuses
+	Refused
 )
 
 // Dial dials a TCP address once and closes the connection.
@@ -30,9 +30,9 @@
 	switch {
 	case err == nil:
 		_ = conn.Close()
-		return Listens
+		return Accepted
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refuses
+		return Refused
 	}
 	return Unknown
 }
--- a/internal/systest/system_test.go
+++ b/internal/systest/system_test.go
@@ -232,11 +232,11 @@
 	assert.Equal(t, result, config.ApplyAccepted)
 	for i := range opts.engines {
 		s.addMember(i, s.standin(standin.NewEngine(ctx, standin.EngineOptions{
-			Announcements: platform.Announcements{},
-			ChecksToken:   opts.checksToken, MaxBatch: 32, Slots: opts.slots, Step: opts.tokenTime, WeightStore: s.weightStoreURL,
+			UpstreamNotices: platform.UpstreamNotices{},
+			ChecksToken:     opts.checksToken, MaxBatch: 32, Slots: opts.slots, Step: opts.tokenTime, WeightStore: s.weightStoreURL,
 		}), "engine", "--checks-token", "--slots", fmt.Sprint(opts.slots), "--step", opts.tokenTime.String(), "--weight-store", s.weightStoreURL), fmt.Sprintf(`"kind": "engine", "base_model": "base-0", "slots": %d, "checks_token": %t`, opts.slots, opts.checksToken))
 	}
-	s.addMember(opts.engines, s.standin(standin.NewPlainService(opts.serviceTime, platform.Announcements{}), "service", "--work", opts.serviceTime.String()), `"kind": "service", "service": "receipts"`)
+	s.addMember(opts.engines, s.standin(standin.NewPlainService(opts.serviceTime, platform.UpstreamNotices{}), "service", "--work", opts.serviceTime.String()), `"kind": "service", "service": "receipts"`)
 	s.publishBoxes()
 	for i := range opts.entries {
 		s.startEntry(i)
--- a/schedule/overload_test.go
+++ b/schedule/overload_test.go
@@ -11,7 +11,7 @@
 
 // overloadOptions returns the trace options of these tests.
 func overloadOptions(duration time.Duration) workload.Options {
-	return workload.Options{Duration: duration, Seed: 1, Skew: 1.1, WakeShare: 0.06}
+	return workload.Options{Duration: duration, Seed: 1, Skew: 1.1, ChurnShare: 0.06}
 }
 
 func TestOverloadRefusesEarlyAndByPriority(t *testing.T) {
--- a/schedule/replay_test.go
+++ b/schedule/replay_test.go
@@ -72,7 +72,7 @@
 		start:   time.Unix(0, 0),
 		weights: newWeightStore(e),
 	}
-	for i := range e.Runners {
+	for i := range e.Engines {
 		r.runners = append(r.runners, newRunner(r, i))
 	}
 	for i := range trace {
@@ -146,7 +146,7 @@
 
 func newWeightStore(e *workload.Estate) weightStore {
 	return weightStore{
-		load:     e.Load,
+		load:     e.LoadTime,
 		limit:    rate.NewLimiter(rate.Limit(e.LoadsPerSecond), int(e.LoadsPerSecond)+1),
 		parallel: float64(e.ParallelLoads),
 	}
--- a/schedule/replayrunner_test.go
+++ b/schedule/replayrunner_test.go
@@ -47,12 +47,12 @@
 	}
 	u.index = r.fleet.Add(placement.Info{
 		BaseModel:     e.BaseModelOf(i),
-		FailureDomain: sandbarrow.FailureDomain(fmt.Sprint(i % e.Domains)),
+		FailureDomain: sandbarrow.FailureDomain(fmt.Sprint(i % e.FailureDomains)),
 		ID:            sandbarrow.UpstreamID(fmt.Sprintf("runner-%d", i)),
 		MaxRunning:    e.MaxRunning,
 	})
 	// Runners report and tick at staggered times, as separate boxes do.
-	offset := time.Duration(i) * reportInterval / time.Duration(e.Runners)
+	offset := time.Duration(i) * reportInterval / time.Duration(e.Engines)
 	u.every(r.start.Add(offset), reportInterval, u.report)
 	u.every(r.start.Add(offset%tick), tick, u.advance)
 	return u
@@ -117,7 +117,7 @@
 	}
 	if len(u.running) > 0 && !u.stepping {
 		u.stepping = true
-		u.replay.at(now.Add(u.replay.estate.Step), u.step)
+		u.replay.at(now.Add(u.replay.estate.StepTime), u.step)
 	}
 	u.startLoads(now)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -66,7 +66,7 @@
 	// ControllerPort is the port of the controllers on the engines' boxes.
 	ControllerPort int `json:"controller_port"`
 	// DrainBound is the time after which a draining upstream must get no new requests.
-	LeaveBound jsonc.Duration `json:"leave_bound"`
+	DrainBound jsonc.Duration `json:"leave_bound"`
 	// Peers are the peer addresses of other gateways. A gateway queries them if it can't read
 	// the store at its start. Some may be stale or down.
 	Peers []string `json:"peers"`
@@ -199,7 +199,7 @@
 		setDefault(&k.LimitWindow, jsonc.Duration(10*time.Second))
 	}
 	if g := s.Gateway; g != nil {
-		setDefault(&g.LeaveBound, jsonc.Duration(2*time.Second))
+		setDefault(&g.DrainBound, jsonc.Duration(2*time.Second))
 		setDefault(&g.RetrySlack, 50)
 		setDefault(&g.RetryShare, 0.2)
 		setDefault(&g.StopGrace, jsonc.Duration(8*time.Second))
@@ -294,7 +294,7 @@
 	c.address("listen.ready", s.Listen.Ready)
 	c.address("listen.metrics", s.Listen.Metrics)
 	c.require(g.ControllerPort > 0 && g.ControllerPort <= maxPort, "gateway.controller_port", "%d is no port", g.ControllerPort)
-	c.require(g.LeaveBound > 0, "gateway.leave_bound", "must be positive")
+	c.require(g.DrainBound > 0, "gateway.leave_bound", "must be positive")
 	for i, peer := range g.Peers {
 		c.address(fmt.Sprintf("gateway.peers[%d]", i), peer)
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,7 +16,7 @@
 // EngineOptions configure an Engine.
 type EngineOptions struct {
 	// UpstreamNotices writes the engine's drain, backoff and limit notices into responses.
-	Announcements sandbarrow.NoticeWriter
+	UpstreamNotices sandbarrow.NoticeWriter
 	// ChecksToken rejects orders that carry an older fencing token.
 	ChecksToken bool
 	// MaxBatch is the maximum number of requests in one step.
@@ -52,7 +52,7 @@
 // NewEngine returns an engine without adapters. Its step loop runs until ctx is done.
 func NewEngine(ctx context.Context, o EngineOptions) *Engine {
 	e := &Engine{
-		faultSwitch: faultSwitch{notices: o.Announcements},
+		faultSwitch: faultSwitch{notices: o.UpstreamNotices},
 
 		loaded:    map[string]int{},
 		options:   o,
--- a/store/httpstore.go
+++ b/store/httpstore.go
@@ -158,7 +158,7 @@
 	response, err := httpcall.Do(ctx, s.client, httpcall.Call{
 		Body: body, Limit: sandbarrow.MaxValueBytes + 1, Method: method, URL: s.base + path,
 	})
-	httpcall.LeaveSilent(ctx, s.client)
+	httpcall.CloseHungConnections(ctx, s.client)
 	s.lastCallFailed.Store(err != nil)
 	switch {
 	case errors.Is(err, httpcall.ErrNotSent):
--- a/workload/estate.go
+++ b/workload/estate.go
@@ -25,29 +25,29 @@
 	BatchWeight float64
 	Classes     []ClassMix
 	// Deadline is the maximum time that callers wait.
-	Deadline time.Duration
-	Domains  int
+	Deadline       time.Duration
+	FailureDomains int
 	// LoadTime is the duration of one adapter load at full speed.
-	Load           time.Duration
+	LoadTime       time.Duration
 	LoadsPerSecond float64
 	MaxRunning     int
 	Name           string
 	ParallelLoads  int
 	// RequestsPerSecond is the request rate in an ordinary hour.
 	RequestsPerSecond float64
-	Runners           int
+	Engines           int
 	Slots             int
 	// StepTime is the duration of one engine step, which generates a token for each running request.
-	Step time.Duration
+	StepTime time.Duration
 }
 
 // Address returns the address look-up estate.
 func Address() Estate {
 	return Estate{
-		Adapters: 5000, BaseModels: 2, Domains: 3, Runners: 9, Name: "address",
+		Adapters: 5000, BaseModels: 2, FailureDomains: 3, Engines: 9, Name: "address",
 		BatchWeight: 0.1, Deadline: 30 * time.Second,
-		Load: time.Second, LoadsPerSecond: 2, ParallelLoads: 2,
-		MaxRunning: 16, Slots: 12, RequestsPerSecond: 4, Step: 25 * time.Millisecond,
+		LoadTime: time.Second, LoadsPerSecond: 2, ParallelLoads: 2,
+		MaxRunning: 16, Slots: 12, RequestsPerSecond: 4, StepTime: 25 * time.Millisecond,
 		Classes: []ClassMix{
 			{Class: "dispatch", NoBatchWait: true, Priority: 0, Share: 0.5, Tokens: 60},
 			{Class: "bank", NoBatchWait: true, Priority: 1, Share: 0.3, Tokens: 100},
@@ -59,10 +59,10 @@
 // Registre returns the company register estate.
 func Registre() Estate {
 	return Estate{
-		Adapters: 5000, BaseModels: 2, Domains: 4, Runners: 18, Name: "registre",
+		Adapters: 5000, BaseModels: 2, FailureDomains: 4, Engines: 18, Name: "registre",
 		BatchWeight: 0.8, Deadline: 60 * time.Second,
-		Load: time.Second, LoadsPerSecond: 4, ParallelLoads: 6,
-		MaxRunning: 16, Slots: 12, RequestsPerSecond: 8, Step: 25 * time.Millisecond,
+		LoadTime: time.Second, LoadsPerSecond: 4, ParallelLoads: 6,
+		MaxRunning: 16, Slots: 12, RequestsPerSecond: 8, StepTime: 25 * time.Millisecond,
 		Classes: []ClassMix{
 			{Class: "notary", NoBatchWait: true, Priority: 0, Share: 0.15, Tokens: 200},
 			{Class: "portal", Priority: 1, Share: 0.45, Tokens: 60},
--- a/workload/trace.go
+++ b/workload/trace.go
@@ -28,7 +28,7 @@
 	Skew float64
 	// ChurnShare is the number of swaps of two adapters' popularity per hour, relative to the number of
 	// adapters.
-	WakeShare float64
+	ChurnShare float64
 }
 
 // minTokens is the minimum length of a response.
@@ -55,7 +55,7 @@
 		g.ranking[i] = i
 	}
 	g.shuffle()
-	swapChance := o.WakeShare * float64(e.Adapters) / time.Hour.Seconds() / e.RequestsPerSecond
+	swapChance := o.ChurnShare * float64(e.Adapters) / time.Hour.Seconds() / e.RequestsPerSecond
 	var requests []Request
 	for at := time.Duration(0); ; {
 		at += time.Duration(g.rand.ExpFloat64() / e.RequestsPerSecond * float64(time.Second))
