--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -40,8 +40,8 @@
 	Target string
 }
 
-// Response is a response whose header has been read. It must be closed.
-type Response struct {
+// UpstreamResponse is a response whose header has been read. It must be closed.
+type UpstreamResponse struct {
 	Header http.Header
 	Status int
 
@@ -57,7 +57,7 @@
 // Send sends a request to the upstream and reads the header of its response. The caller must
 // close the response. The connection is closed if ctx is canceled before that. The error is
 // ErrNotSent or ErrBroken.
-func (p *Pool) Send(ctx context.Context, r *Request) (*Response, error) {
+func (p *Pool) Send(ctx context.Context, r *Request) (*UpstreamResponse, error) {
 	c, err := p.get(ctx)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 		return nil, errors.Annotate(ErrNotSent, "AllowSend returned false")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	rs := &Response{conn: c, pool: p, stopCancel: stop}
+	rs := &UpstreamResponse{conn: c, pool: p, stopCancel: stop}
 	if err := rs.write(r); err != nil {
 		rs.Close()
 		return nil, errors.Annotate(ErrBroken, err.Error())
@@ -79,7 +79,7 @@
 	return rs, nil
 }
 
-func (rs *Response) write(r *Request) error {
+func (rs *UpstreamResponse) write(r *Request) error {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
@@ -102,7 +102,7 @@
 
 // readHeader reads response headers until one has the request's ID. It skips late responses to
 // earlier requests on this connection.
-func (rs *Response) readHeader(r *Request) error {
+func (rs *UpstreamResponse) readHeader(r *Request) error {
 	for range maxStaleResponses + 1 {
 		resp, err := http.ReadResponse(rs.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
@@ -127,7 +127,7 @@
 }
 
 // Body reads the complete body, which must not exceed limit bytes.
-func (rs *Response) Body(limit int) ([]byte, error) {
+func (rs *UpstreamResponse) Body(limit int) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(rs.body, int64(limit)+1))
 	if err != nil {
 		return nil, errors.Annotate(ErrBroken, err.Error())
@@ -141,7 +141,7 @@
 
 // Event reads one complete event of a stream, including the empty line at its end. It returns
 // io.EOF when the stream is complete.
-func (rs *Response) Event() ([]byte, error) {
+func (rs *UpstreamResponse) Event() ([]byte, error) {
 	var event []byte
 	for {
 		line, err := rs.body.ReadSlice('\n')
@@ -178,7 +178,7 @@
 // Close returns the connection to the pool if it can be reused: the request was written and the
 // response read completely, no further bytes have arrived, the context of Send was not canceled,
 // and the upstream keeps the connection open. Otherwise Close closes the connection.
-func (rs *Response) Close() {
+func (rs *UpstreamResponse) Close() {
 	stopped := rs.stopCancel()
 	if rs.complete && stopped && rs.requestWritten() && !rs.resp.Close && rs.conn.reader.Buffered() == 0 {
 		rs.pool.put(rs.conn, keepAliveTimeout(rs.Header))
@@ -188,7 +188,7 @@
 }
 
 // requestWritten reports whether the complete request has been written.
-func (rs *Response) requestWritten() bool {
+func (rs *UpstreamResponse) requestWritten() bool {
 	if rs.written == nil {
 		return true
 	}
--- a/gateway/callend.go
+++ b/gateway/callend.go
@@ -49,7 +49,7 @@
 
 // completeResponse is a response whose body has been read to the end.
 type completeResponse struct {
-	response *forward.Response
+	response *forward.UpstreamResponse
 	body     []byte
 }
 
@@ -63,7 +63,7 @@
 }
 
 // copyHeader copies the header of an upstream's response to the caller's response.
-func (c *call) copyHeader(a *forward.Response) {
+func (c *call) copyHeader(a *forward.UpstreamResponse) {
 	h := c.writer.Header()
 	for name, values := range withoutHopByHop(a.Header) {
 		h[name] = values
--- a/gateway/callsend.go
+++ b/gateway/callsend.go
@@ -52,7 +52,7 @@
 
 // send sends the request to an upstream, unless the upstream accepts no requests by the time the
 // connection is ready. It returns the time at which it began, and counts requests that were sent.
-func (c *call) send(ctx context.Context, in *sandbarrow.Instance, version sandbarrow.AdapterVersion) (*forward.Response, time.Time, error) {
+func (c *call) send(ctx context.Context, in *sandbarrow.Instance, version sandbarrow.AdapterVersion) (*forward.UpstreamResponse, time.Time, error) {
 	began := boottime.Now()
 	notice := c.gateway.upstreams.notice(began, in.ID)
 	namedLimit, limited := c.gateway.upstreams.limitInForce(in.ID)
--- a/gateway/fatalrequest.go
+++ b/gateway/fatalrequest.go
@@ -72,7 +72,7 @@
 
 // recordResponse records that an upstream has completed its response. A server error proves
 // nothing, because it may precede the execution of the request.
-func (c *call) recordResponse(a *forward.Response) {
+func (c *call) recordResponse(a *forward.UpstreamResponse) {
 	if a.Status < http.StatusInternalServerError {
 		c.clearCrashes()
 	}
--- a/gateway/passresponse.go
+++ b/gateway/passresponse.go
@@ -18,7 +18,7 @@
 const errEventOutOfOrder = errors.ConstError("gateway: event does not follow the last one")
 
 // passComplete passes on an engine's response that is not a stream.
-func (c *call) passComplete(ctx context.Context, a *forward.Response) attemptResult {
+func (c *call) passComplete(ctx context.Context, a *forward.UpstreamResponse) attemptResult {
 	body, err := a.Body(maxResponseBytes)
 	if err != nil {
 		return c.failAttempt(ctx, resultBroken, err)
@@ -38,7 +38,7 @@
 
 // passEvents passes events on as they arrive. It passes complete events only, so that another
 // engine can resume after the last one.
-func (c *call) passEvents(ctx context.Context, a *forward.Response, e *candidate, p *progress) attemptResult {
+func (c *call) passEvents(ctx context.Context, a *forward.UpstreamResponse, e *candidate, p *progress) attemptResult {
 	control := http.NewResponseController(c.writer)
 	for {
 		event, err := a.Event()
@@ -119,7 +119,7 @@
 }
 
 // commit sends the header of a stream to the caller, right before its first event.
-func (c *call) commit(a *forward.Response) {
+func (c *call) commit(a *forward.UpstreamResponse) {
 	c.committed = true
 	c.copyHeader(a)
 	c.writer.WriteHeader(a.Status)
--- a/gateway/retryrule.go
+++ b/gateway/retryrule.go
@@ -139,7 +139,7 @@
 
 // notRun reports whether a response guarantees that the request did not run: either another
 // instance has the address, or the upstream set the header for that.
-func (c *call) notRun(a *forward.Response) bool {
+func (c *call) notRun(a *forward.UpstreamResponse) bool {
 	return a.Status == http.StatusMisdirectedRequest || a.Header.Get(c.gateway.config.Headers.NotRun) != ""
 }
 
--- a/gateway/upstreams.go
+++ b/gateway/upstreams.go
@@ -98,7 +98,7 @@
 
 // observeResponse reads the notices in an upstream's response to a request sent at a time. It
 // ignores the response of another instance.
-func (u *upstreams) observeResponse(in *sandbarrow.Instance, sent time.Time, a *forward.Response) {
+func (u *upstreams) observeResponse(in *sandbarrow.Instance, sent time.Time, a *forward.UpstreamResponse) {
 	if name := a.Header.Get(u.gateway.config.Headers.Instance); name != "" && sandbarrow.ListedID(name) != in.ID.Listed() {
 		return
 	}
--- a/gateway/upstreams_test.go
+++ b/gateway/upstreams_test.go
@@ -73,7 +73,7 @@
 		defer g.upstreams.cancelWhenBlocked("v@1", waitingCall, func() { stopped["at another upstream"] = true })()
 		h := http.Header{}
 		platform.UpstreamNotices{}.Write(h, notice)
-		g.upstreams.observeResponse(in, boottime.Now(), &forward.Response{Header: h, Status: http.StatusServiceUnavailable})
+		g.upstreams.observeResponse(in, boottime.Now(), &forward.UpstreamResponse{Header: h, Status: http.StatusServiceUnavailable})
 		assert.DeepEqual(t, stopped, map[string]bool{"waiting": true})
 		end()
 		assert.Equal(t, len(g.upstreams.waiting), 1)
