--- a/forward/pool.go
+++ b/forward/pool.go
@@ -1,7 +1,7 @@
 // Package forward sends requests to upstreams over persistent HTTP connections. It distinguishes
 // requests that were not sent, requests without a complete response, and complete responses. It
 // owns the connections to upstreams, with one Pool for each upstream, and depends on no other
-// package of the system. The gateway uses it. A Pool is safe for concurrent use, a Response is
+// package of the system. The gateway uses it. A Pool is safe for concurrent use, an UpstreamResponse is
 // not.
 package forward
 
