--- a/agent/admissions_test.go
+++ b/agent/admissions_test.go
@@ -16,12 +16,12 @@
 // naming is the head of an answer that names a limit.
 func naming(limit string) http.Header {
 	h := http.Header{}
-	platform.Announcements{}.Write(h, sandbarrow.RawNotice{Limit: limit})
+	platform.UpstreamNotices{}.Write(h, sandbarrow.RawNotice{Limit: limit})
 	return h
 }
 
 func TestAdmissionsUnderALimit(t *testing.T) {
-	l := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
+	l := newAdmissions("u", platform.UpstreamNotices{}, slog.New(slog.DiscardHandler))
 	admit := func() bool { return l.admit(boottime.Now(), false).refusal == nil }
 	assert.Assert(t, admit(), "no limit is named")
 	before := boottime.Now()
@@ -44,12 +44,12 @@
 }
 
 func TestAdmissionsByAnnouncements(t *testing.T) {
-	a := newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler))
+	a := newAdmissions("u", platform.UpstreamNotices{}, slog.New(slog.DiscardHandler))
 	drains := 0
 	a.drains = func() { drains++ }
 	answer := func(status int, texts sandbarrow.RawNotice) {
 		h := http.Header{}
-		platform.Announcements{}.Write(h, texts)
+		platform.UpstreamNotices{}.Write(h, texts)
 		a.ResponseReceived(boottime.Now(), status, h)
 	}
 	answer(http.StatusServiceUnavailable, sandbarrow.RawNotice{Backoff: "soon", Limit: "-1"})
--- a/agent/ends_test.go
+++ b/agent/ends_test.go
@@ -20,7 +20,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	a := &Agent{
-		admissions: newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler)),
+		admissions: newAdmissions("u", platform.UpstreamNotices{}, slog.New(slog.DiscardHandler)),
 		crashes:    crash.NewLog(boottime.Now), incarnation: "i", logger: slog.New(slog.DiscardHandler),
 		settings: &settings.Settings{Agent: &settings.Agent{Upstream: settings.Upstream{ID: "u", URL: "http://" + listener.Addr().String()}}},
 	}
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -44,7 +44,7 @@
 // agent drains, so that it gives no order of its own.
 func restartedAgent(t *testing.T, engine *fakeEngine) (*Agent, schedule.Order) {
 	a := &Agent{
-		admissions: newAdmissions("u", platform.Announcements{}, slog.New(slog.DiscardHandler)),
+		admissions: newAdmissions("u", platform.UpstreamNotices{}, slog.New(slog.DiscardHandler)),
 		budget:     loadbudget.NewBackoff(10, 1),
 		draining:   true,
 		engine:     engine,
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -71,7 +71,7 @@
 		return standin.NewBoxList(o.Lag)
 	case "engine":
 		return standin.NewEngine(ctx, standin.EngineOptions{
-			Announcements: platform.Announcements{},
+			UpstreamNotices: platform.UpstreamNotices{},
 			ChecksToken:   o.ChecksToken,
 			MaxBatch:      o.MaxBatch,
 			Slots:         o.Slots,
@@ -81,7 +81,7 @@
 	case "kv":
 		return standin.NewKV(standin.KVLimits{Reads: o.Reads, Writes: o.Writes})
 	case "service":
-		return standin.NewPlainService(o.Work, platform.Announcements{})
+		return standin.NewPlainService(o.Work, platform.UpstreamNotices{})
 	}
 	return standin.NewWeightStore(standin.WeightLimits{Load: o.Load, Parallel: o.Parallel, PerSecond: o.PerSecond})
 }
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -161,7 +161,7 @@
 	misdirected := q.Header.Get(testNames.ExpectInstance) != string(r.id) ||
 		adapter != "" && (!loaded || expected != "" && expected != strconv.FormatUint(uint64(version), 10))
 	refuse, hang, status, cut := r.refuse, r.hang, r.status, r.cutAfter
-	platform.Announcements{}.Write(w.Header(), r.notice)
+	platform.UpstreamNotices{}.Write(w.Header(), r.notice)
 	if r.claimedInstance != "" {
 		w.Header().Set(testNames.Instance, r.claimedInstance)
 	}
@@ -304,7 +304,7 @@
 		f.runners = append(f.runners, r)
 	}
 	config := Config{
-		Announcements:   platform.Announcements{},
+		UpstreamNotices:   platform.UpstreamNotices{},
 		AcceptAfterStop: 100 * time.Millisecond, Box: "gateway", ControllerPort: port, Documents: testDocuments{}, Headers: testNames, Instances: testInstances{},
 		Logger: logger, Metrics: prometheus.NewRegistry(), RetryShare: 0.2, RetrySlack: 50, StopGrace: 4 * time.Second, Store: f.store, TableStore: f.store,
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -60,8 +60,8 @@
 
 // Config is the configuration of a Gateway.
 type Config struct {
-	// Announcements reads the notices of upstreams in their responses.
-	Announcements sandbarrow.NoticeReader
+	// UpstreamNotices reads the notices of upstreams in their responses.
+	UpstreamNotices sandbarrow.NoticeReader
 	// AcceptAfterStop is how long a stopping gateway accepts new connections.
 	AcceptAfterStop time.Duration
 	// ControllerPort is the port of the controller on an engine's box.
--- a/gateway/upstreams.go
+++ b/gateway/upstreams.go
@@ -102,7 +102,7 @@
 	if name := a.Header.Get(u.gateway.config.Headers.Instance); name != "" && sandbarrow.ListedID(name) != in.ID.Listed() {
 		return
 	}
-	notice, err := u.gateway.config.Announcements.Read(a.Status, a.Header)
+	notice, err := u.gateway.config.UpstreamNotices.Read(a.Status, a.Header)
 	if err != nil {
 		u.gateway.logger.Warn("announcement of an upstream not read", "upstream", string(in.ID), "error", err.Error())
 	} else {
--- a/gateway/upstreams_test.go
+++ b/gateway/upstreams_test.go
@@ -64,7 +64,7 @@
 func TestWaitIsCancelledOnceUpstreamIsBlocked(t *testing.T) {
 	for _, notice := range []sandbarrow.RawNotice{{Draining: "1"}, {Backoff: "1"}} {
 		g := newLoneGateway()
-		g.config.Announcements = platform.Announcements{}
+		g.config.UpstreamNotices = platform.UpstreamNotices{}
 		in := &sandbarrow.Instance{ID: "u@1"}
 		stopped := map[string]bool{}
 		waitingCall := &call{gateway: g}
@@ -72,7 +72,7 @@
 		g.upstreams.cancelWhenBlocked(in.ID, &call{gateway: g}, func() { stopped["no longer waiting"] = true })()
 		defer g.upstreams.cancelWhenBlocked("v@1", waitingCall, func() { stopped["at another upstream"] = true })()
 		h := http.Header{}
-		platform.Announcements{}.Write(h, notice)
+		platform.UpstreamNotices{}.Write(h, notice)
 		g.upstreams.observeResponse(in, boottime.Now(), &forward.Answer{Header: h, Status: http.StatusServiceUnavailable})
 		assert.DeepEqual(t, stopped, map[string]bool{"waiting": true})
 		end()
--- a/internal/cmd/agentcmd.go
+++ b/internal/cmd/agentcmd.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	registry := prometheus.NewRegistry()
-	a, err := agent.New(s, platform.Announcements{}, logger, registry)
+	a, err := agent.New(s, platform.UpstreamNotices{}, logger, registry)
 	if err != nil {
 		return err
 	}
--- a/internal/cmd/gatewaycmd.go
+++ b/internal/cmd/gatewaycmd.go
@@ -35,7 +35,7 @@
 	}
 	store := platform.NewStore(s.Platform.Store, platformClient())
 	g := gateway.New(gateway.Config{
-		AcceptAfterStop: gateway.DefaultAcceptAfterStop, Announcements: platform.Announcements{}, Box: s.Box.ID, ControllerPort: strconv.Itoa(s.Gateway.ControllerPort), Documents: platform.Documents{},
+		AcceptAfterStop: gateway.DefaultAcceptAfterStop, UpstreamNotices: platform.UpstreamNotices{}, Box: s.Box.ID, ControllerPort: strconv.Itoa(s.Gateway.ControllerPort), Documents: platform.Documents{},
 		Domain: s.Box.FailureDomain, Headers: platform.Headers, Instances: platform.Instances{}, LeaveBound: time.Duration(s.Gateway.LeaveBound), Logger: d.logger,
 		Metrics: d.registry, PeerAddress: s.Listen.Peer, Peers: s.Gateway.Peers, RetryShare: s.Gateway.RetryShare, RetrySlack: s.Gateway.RetrySlack,
 		RevokeBound: time.Duration(s.Gateway.RevokeBound),
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -65,7 +65,7 @@
 		cancel:  cancel,
 		group:   group,
 		kv:      standin.NewKV(standin.KVLimits{Reads: 2000, Writes: 300}),
-		service: standin.NewPlainService(2*time.Millisecond, platform.Announcements{}),
+		service: standin.NewPlainService(2*time.Millisecond, platform.UpstreamNotices{}),
 	}
 	if err := d.start(ctx); err != nil {
 		d.Stop()
@@ -156,7 +156,7 @@
 		Listen:   settings.Listen{HTTP: loopback, RPC: loopback},
 		Platform: p,
 	}
-	a, err := agent.New(s, platform.Announcements{}, discard(), prometheus.NewRegistry())
+	a, err := agent.New(s, platform.UpstreamNotices{}, discard(), prometheus.NewRegistry())
 	if err != nil {
 		return err
 	}
--- a/internal/systest/system_test.go
+++ b/internal/systest/system_test.go
@@ -232,11 +232,11 @@
 	assert.Equal(t, result, config.ApplyAccepted)
 	for i := range sh.engines {
 		s.addMember(i, s.standin(standin.NewEngine(ctx, standin.EngineOptions{
-			Announcements: platform.Announcements{},
+			UpstreamNotices: platform.UpstreamNotices{},
 			ChecksToken:   sh.checksToken, MaxBatch: 32, Slots: sh.slots, Step: sh.step, WeightStore: s.weights,
 		}), "engine", "--checks-token", "--slots", fmt.Sprint(sh.slots), "--step", sh.step.String(), "--weight-store", s.weights), fmt.Sprintf(`"kind": "engine", "base_model": "base-0", "slots": %d, "checks_token": %t`, sh.slots, sh.checksToken))
 	}
-	s.addMember(sh.engines, s.standin(standin.NewPlainService(sh.work, platform.Announcements{}), "service", "--work", sh.work.String()), `"kind": "service", "service": "receipts"`)
+	s.addMember(sh.engines, s.standin(standin.NewPlainService(sh.work, platform.UpstreamNotices{}), "service", "--work", sh.work.String()), `"kind": "service", "service": "receipts"`)
 	s.publish()
 	for i := range sh.entries {
 		s.startEntry(i)
--- a/schedule/replay_test.go
+++ b/schedule/replay_test.go
@@ -146,7 +146,7 @@
 
 func newWeightStore(e *workload.Estate) weightStore {
 	return weightStore{
-		load:     e.Load,
+		load:     e.LoadTime,
 		limit:    rate.NewLimiter(rate.Limit(e.LoadsPerSecond), int(e.LoadsPerSecond)+1),
 		parallel: float64(e.ParallelLoads),
 	}
--- a/schedule/replayrunner_test.go
+++ b/schedule/replayrunner_test.go
@@ -117,7 +117,7 @@
 	}
 	if len(u.running) > 0 && !u.stepping {
 		u.stepping = true
-		u.replay.at(now.Add(u.replay.estate.Step), u.step)
+		u.replay.at(now.Add(u.replay.estate.StepTime), u.step)
 	}
 	u.startLoads(now)
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,8 +15,8 @@
 
 // EngineOptions describe an Engine.
 type EngineOptions struct {
-	// Announcements writes what the engine announces of itself.
-	Announcements sandbarrow.NoticeWriter
+	// UpstreamNotices writes what the engine announces of itself.
+	UpstreamNotices sandbarrow.NoticeWriter
 	// ChecksToken makes orders under an older fencing token fail.
 	ChecksToken bool
 	// MaxBatch is the number of requests that share a step.
@@ -52,7 +52,7 @@
 // NewEngine returns an empty engine that steps until ctx ends.
 func NewEngine(ctx context.Context, o EngineOptions) *Engine {
 	e := &Engine{
-		faultSwitch: faultSwitch{announcements: o.Announcements},
+		faultSwitch: faultSwitch{announcements: o.UpstreamNotices},
 
 		loaded:  map[string]int{},
 		options: o,
--- a/workload/estate.go
+++ b/workload/estate.go
@@ -27,8 +27,8 @@
 	// Deadline is what callers wait at most.
 	Deadline time.Duration
 	Domains  int
-	// Load is the time of one adapter load at full speed.
-	Load           time.Duration
+	// LoadTime is the time of one adapter load at full speed.
+	LoadTime           time.Duration
 	LoadsPerSecond float64
 	MaxRunning     int
 	Name           string
@@ -37,8 +37,8 @@
 	RequestsPerSecond float64
 	Runners           int
 	Slots             int
-	// Step is the time of one engine step, which gives each request a token.
-	Step time.Duration
+	// StepTime is the time of one engine step, which gives each request a token.
+	StepTime time.Duration
 }
 
 // Address is the address look-up estate.
@@ -46,8 +46,8 @@
 	return Estate{
 		Adapters: 5000, BaseModels: 2, Domains: 3, Runners: 9, Name: "address",
 		BatchWeight: 0.1, Deadline: 30 * time.Second,
-		Load: time.Second, LoadsPerSecond: 2, ParallelLoads: 2,
-		MaxRunning: 16, Slots: 12, RequestsPerSecond: 4, Step: 25 * time.Millisecond,
+		LoadTime: time.Second, LoadsPerSecond: 2, ParallelLoads: 2,
+		MaxRunning: 16, Slots: 12, RequestsPerSecond: 4, StepTime: 25 * time.Millisecond,
 		Classes: []ClassMix{
 			{Class: "dispatch", NoBatchWait: true, Priority: 0, Share: 0.5, Tokens: 60},
 			{Class: "bank", NoBatchWait: true, Priority: 1, Share: 0.3, Tokens: 100},
@@ -61,8 +61,8 @@
 	return Estate{
 		Adapters: 5000, BaseModels: 2, Domains: 4, Runners: 18, Name: "registre",
 		BatchWeight: 0.8, Deadline: 60 * time.Second,
-		Load: time.Second, LoadsPerSecond: 4, ParallelLoads: 6,
-		MaxRunning: 16, Slots: 12, RequestsPerSecond: 8, Step: 25 * time.Millisecond,
+		LoadTime: time.Second, LoadsPerSecond: 4, ParallelLoads: 6,
+		MaxRunning: 16, Slots: 12, RequestsPerSecond: 8, StepTime: 25 * time.Millisecond,
 		Classes: []ClassMix{
 			{Class: "notary", NoBatchWait: true, Priority: 0, Share: 0.15, Tokens: 200},
 			{Class: "portal", Priority: 1, Share: 0.45, Tokens: 60},
