--- a/controller/acquire.go
+++ b/controller/acquire.go
@@ -18,7 +18,7 @@
 
 // acquire waits for a pin on an adapter. It waits as long as the gateway allows for the
 // load to start. Once the adapter is loading or loaded, it waits up to
-// enginelink.LoadPatience longer.
+// enginelink.ExtraLoadWait longer.
 func (l *link) acquire(q *enginelink.Acquire, a *acquireCall) enginelink.Grant {
 	c := l.controller
 	p := &pin{key: sandbarrow.AdapterKey{Adapter: q.Adapter, Model: q.Model}, priority: q.Priority, promptPrefixes: q.PromptPrefixes, tokens: q.Tokens}
--- a/gateway/controllerlink.go
+++ b/gateway/controllerlink.go
@@ -207,7 +207,7 @@
 	return g, err == nil
 }
 
-// report reports the progress of a pinned request to the controller. MethodDone releases its pin.
+// report reports the progress of a pinned request to the controller. MethodUnpin releases its pin.
 func (l *controllerLink) report(method string, id sandbarrow.RequestID) {
 	l.mu.Lock()
 	rpc := l.rpc
